--- a/benchmarks/catchup_cost.py
+++ b/benchmarks/catchup_cost.py
@@ -11,20 +11,20 @@
 import time
 from hashlib import blake2b
 
-from slatehub.copies.words import Ballot, Row
-from slatelab.peers.votes import SECOND, Votes
+from slatehub.copies.messages import Ballot, RegisterState
+from slatelab.peers.replica_simulation import SECOND, ReplicaSimulation
 
 VALUE = b"v" * 150  # as the ledger writes it
 
 
-def filled(size: int) -> Votes:
-    votes = Votes(1, ["p0", "p1", "p2"])
+def filled(size: int) -> ReplicaSimulation:
+    votes = ReplicaSimulation(1, ["p0", "p1", "p2"])
     votes.start("p0", "p1", "p2")
     votes.run(2 * SECOND)
     for number in range(size):
-        row = Row(blake2b(b"%d" % number, digest_size=16).digest(), Ballot(5, 9), 0, VALUE)
+        row = RegisterState(blake2b(b"%d" % number, digest_size=16).digest(), Ballot(5, 9), 0, VALUE)
         for name in ("p0", "p1"):
-            votes.up[name].acceptor._put(row, 0)
+            votes.running[name].acceptor._put(row, 0)
     return votes
 
 
@@ -45,11 +45,11 @@
         votes._send = send  # type: ignore[method-assign]
         votes.crash("p2", wipe=True)
         votes.start("p2")
-        began, cpu, carried = votes.now, time.process_time(), votes.carried
-        while votes.up["p2"].config.epoch < 3:
+        began, cpu, carried = votes.now, time.process_time(), votes.messages_sent
+        while votes.running["p2"].config.epoch < 3:
             votes.run(SECOND)
         cpu = time.process_time() - cpu
-        took, count = (votes.now - began) / SECOND, votes.carried - carried
+        took, count = (votes.now - began) / SECOND, votes.messages_sent - carried
         cells = (size, f"{took:.0f}", count, f"{sent[0] / 1e6:.1f}", f"{cpu:.1f}", f"{cpu / size * 1e6:.0f}")
         print("| " + " | ".join(map(str, cells)) + " |", flush=True)
 
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -13,19 +13,19 @@
 from types import SimpleNamespace
 from typing import Any
 
-from slatehub.decisions.fleet.load import PLAIN, Load, NodeLoad
-from slatehub.fleet.peer import Peer, Place
-from slatelab.peers.net import Weather
-from slatelab.peers.ring import KEY, Ring
+from slatehub.decisions.fleet.load import TOTAL_NAMES, Load, NodeLoad
+from slatehub.fleet.peer import Peer, PeerIdentity
+from slatelab.peers.membership_simulation import KEY, MembershipSimulation
+from slatelab.peers.network import DatagramFaults
 
 SECOND = 1_000_000
 
 
-def met(size: int, seed: int) -> Ring:
-    ring = Ring(seed)
+def met(size: int, seed: int) -> MembershipSimulation:
+    ring = MembershipSimulation(seed)
     ring.start(*(f"p{i}" for i in range(size)))
     ring.run(10 * SECOND)
-    assert ring.agree(), f"{size} members have not found each other in 10 s"
+    assert ring.has_converged(), f"{size} members have not found each other in 10 s"
     return ring
 
 
@@ -47,7 +47,7 @@
     proxy a second: datagrams sent, bytes sent and received, CPU in ms, and the suspicions an hour of all."""
     ring = met(size, seed)
     ring.log.clear()
-    ring.net.weather = Weather(lost=loss)
+    ring.net.faults = DatagramFaults(loss=loss)
     before = [dict(peer.counts) for peer in ring.peers.values()]
     cpu = time.process_time()
     for _ in range(minutes * 6):
@@ -57,7 +57,7 @@
                 ring.freeze(name)
             ring.run(SECOND)
             for name in some:
-                ring.wake(name)
+                ring.unfreeze(name)
             ring.run(9 * SECOND)
         else:
             ring.run(10 * SECOND)
@@ -96,23 +96,28 @@
     """With the load of all summed over so many nodes. Of one proxy a second: bytes sent and received, mean and most;
     datagrams sent; CPU in ms. Then how old a sum is at the most, in seconds."""
     load = Load(
-        1, (3.0,) * len(PLAIN), ((1.0, 0.1),) * 3, {2**40 + n: NodeLoad(1, 1, 0.5, 3) for n in range(nodes)}
+        1,
+        (3.0,) * len(TOTAL_NAMES),
+        ((1.0, 0.1),) * 3,
+        {2**40 + n: NodeLoad(1, 1, 0.5, 3) for n in range(nodes)},
     )
 
-    def make(place: Place, now: int, rng: Random) -> Peer:
+    def make(place: PeerIdentity, now: int, rng: Random) -> Peer:
         peer, module = Peer(place, (KEY,), now, rng), Busy()
-        share = peer.tell_load(now, lambda: module, lambda _now, _news, _until: None)
+        share = peer.start_load_sharing(now, lambda: module, lambda _now, _news, _until: None)
         share.meter.read = lambda now, module: load  # type: ignore[method-assign]
         return peer
 
-    ring = Ring(1, make=make)
+    ring = MembershipSimulation(1, make_peer=make)
     ring.start(*(f"p{i}" for i in range(size)))
     ring.run(10 * SECOND)
     before = [dict(peer.counts) for peer in ring.peers.values()]
     cpu, oldest = time.process_time(), 0
     for _ in range(80):
         ring.run(SECOND // 4)
-        oldest = max(oldest, *(p.share.sums.age(ring.now) for p in ring.peers.values() if p.share))
+        oldest = max(
+            oldest, *(p.load_sharing.aggregation.age(ring.now) for p in ring.peers.values() if p.load_sharing)
+        )
     cpu = time.process_time() - cpu
     after = [dict(peer.counts) for peer in ring.peers.values()]
     keys = ("bytes_out", "bytes_in")
--- a/benchmarks/fleet_tables.py
+++ b/benchmarks/fleet_tables.py
@@ -24,7 +24,7 @@
 from slatelab import records as r
 from slatelab.figures.measure import measure
 from slatelab.judge import judge
-from slatelab.judge.whole import inversions
+from slatelab.judge.fleet_rules import priority_inversions
 from slatelab.model import run
 from slatelab.scenario import load
 
@@ -49,7 +49,7 @@
         "goodput": 100 * (figures.goodput or 0), "p50": figures.latency.p50 or 0, "attempts": figures.attempts or 0,
         "violations": float(len(judge(scenario, records).violations)),
         "at_bad": float(sum(f.node in bad and 10e6 <= f.first < 26e6 for f in firsts)),
-        "inverted": 100 * (inversions(scenario, records) or 0.0),
+        "inverted": 100 * (priority_inversions(scenario, records) or 0.0),
     }  # fmt: skip
     return job[0], found
 
--- a/benchmarks/rig.py
+++ b/benchmarks/harness.py
@@ -90,7 +90,7 @@
             "size": 1.0, "up_since_ms": 0}  # fmt: skip
 
 
-class Caller(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection that asks again as soon as it has its answer."""
 
     def __init__(self, share: Share, number: int) -> None:
@@ -140,7 +140,7 @@
             self.bad += 1
 
 
-def caller_process(pipe: Connection, core: int, place: str, first: int, connections: int) -> None:
+def load_generator_process(pipe: Connection, core: int, place: str, first: int, connections: int) -> None:
     os.sched_setaffinity(0, {core})
     host, _, port = place.rpartition(":")
 
@@ -148,7 +148,7 @@
         loop = asyncio.get_running_loop()
         share = Share()
         for i in range(connections):
-            await loop.create_connection(partial(Caller, share, first + i), host, int(port))
+            await loop.create_connection(partial(ClientConnection, share, first + i), host, int(port))
         pipe.send("up")
         while (word := await loop.run_in_executor(None, pipe.recv)) != "end":
             share.times.clear()
@@ -196,7 +196,7 @@
 
 
 @contextmanager
-def started(argv: list[str], core: int, **environ: str) -> Iterator[tuple[str, psutil.Process]]:
+def started_process(argv: list[str], core: int, **environ: str) -> Iterator[tuple[str, psutil.Process]]:
     """A process under test that says ` listens on HOST:PORT` on standard error; its address and itself."""
 
     def on_its_core() -> None:
@@ -235,11 +235,11 @@
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(tree))
         argv = [sys.executable, "-B", "-m", "slatehub", "serve"]
-        with started(argv, core, EDGE_CONFIG=str(path)) as found:
+        with started_process(argv, core, EDGE_CONFIG=str(path)) as found:
             yield found
 
 
-def load(
+def closed_loop_load(
     place: str, connections: int, seconds: float, on: list[int], under_test: psutil.Process
 ) -> dict[str, float]:
     """A closed loop of so many connections: requests a second, CPU per request and latency."""
@@ -248,7 +248,9 @@
     share = max(1, connections // len(on))
     for i, core in enumerate(on if connections >= len(on) else on[:1]):
         here, there = context.Pipe()
-        process = context.Process(target=caller_process, args=(there, core, place, i * 1_000_000, share))
+        process = context.Process(
+            target=load_generator_process, args=(there, core, place, i * 1_000_000, share)
+        )
         process.start()
         callers.append((process, here))
     try:
--- a/benchmarks/idle_memory.py
+++ b/benchmarks/idle_memory.py
@@ -14,7 +14,7 @@
 
 import click
 import psutil
-from rig import cores, nodes, proxy
+from harness import cores, nodes, proxy
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-from rig import cores, load, member, nodes, settings, started
+from harness import closed_loop_load, cores, member, nodes, settings, started_process
 
-from slatehub.settings import keys
-from slatelab.peers.relay import free_ports
+from slatehub.settings import key_file
+from slatelab.peers.relay import free_udp_addresses
 
 WAYS = {
     "no ledger": (0, True), "1 copy": (1, True), "3 copies": (3, True), "3, no sync": (3, False), "5 copies": (5, True),
@@ -32,9 +32,9 @@
 ) -> Iterator[Any]:
     """So many proxies, of which the first is asked; none of them keeps anything where `count` is 0."""
     names = [f"p{i}" for i in range(max(1, count))]
-    places = free_ports(names)
+    places = free_udp_addresses(names)
     key = folder / "key"
-    keys.add(str(key), True)
+    key_file.add(str(key), True)
     with ExitStack() as stack:
         found = []
         for i, name in enumerate(names):
@@ -56,7 +56,7 @@
                 "--operator",
                 str(folder / f"{name}.toml"),
             ]
-            place = started(argv, on[i % len(on)], EDGE_CONFIG=str(folder / f"{name}.json"))
+            place = started_process(argv, on[i % len(on)], EDGE_CONFIG=str(folder / f"{name}.json"))
             found.append(stack.enter_context(place))
         yield found[0]
 
@@ -84,7 +84,11 @@
                 folder = Path(tempfile.mkdtemp(dir=args.folder))
                 try:
                     with group(count, sync, members, discovery, folder, free[2:]) as (place, process):
-                        _row(connections, way, load(place, connections, args.seconds, free[1:2], process))
+                        _row(
+                            connections,
+                            way,
+                            closed_loop_load(place, connections, args.seconds, free[1:2], process),
+                        )
                 finally:
                     shutil.rmtree(folder, ignore_errors=True)
 
--- a/benchmarks/model_theory.py
+++ b/benchmarks/model_theory.py
@@ -34,7 +34,7 @@
 from slatelab.records import Began, Came, Record  # noqa: E402
 from slatelab.scenario import Scenario, parse  # noqa: E402
 
-MEAN_S = 0.1  # of the work
+MEAN_SERVICE_S = 0.1  # of the work
 ORDERS = 100_000  # a run
 WARM = 5_000  # of them left out
 BOUND = 0.03
@@ -55,7 +55,7 @@
     @property
     def rate(self) -> float:
         """Arrivals a second."""
-        return self.load * self.servers / MEAN_S
+        return self.load * self.servers / MEAN_SERVICE_S
 
 
 LOADS = (0.5, 0.8, 0.9)
@@ -112,7 +112,7 @@
 def scenario(cell: Cell, orders: int) -> Scenario:
     """Callers go straight to one node that works on as many at once as it has cores; nobody is turned away or
     gives up, and nothing is on its way for long."""
-    work = {"mean": f"{MEAN_S} s", "dist": cell.dist, "cv": cell.cv}
+    work = {"mean": f"{MEAN_SERVICE_S} s", "dist": cell.dist, "cv": cell.cv}
     kind = {
         "name": "node", "nodes": 1, "cores": cell.servers, "slots": cell.servers, "waiting": 100_000,
         "connections": 100_000,
@@ -141,7 +141,7 @@
     return list(came.values()), [began[request] - t for request, (t, _) in came.items()]
 
 
-def play(cell: Cell, seed: int, orders: int = ORDERS, warm: int = WARM) -> dict[str, float]:
+def simulate(cell: Cell, seed: int, orders: int = ORDERS, warm: int = WARM) -> dict[str, float]:
     """The means of one run, in seconds: the wait, what theory makes of the moments as drawn, and the exact
     one."""
     arrivals, waited = waits(run(scenario(cell, orders), seed, Path("."), None).records)
@@ -171,7 +171,7 @@
 
 
 def line(cell: Cell, runs: list[dict[str, float]]) -> str:
-    theory = mean_wait(cell.servers, cell.rate, MEAN_S, MEAN_S**2 * (1 + cell.cv**2))
+    theory = mean_wait(cell.servers, cell.rate, MEAN_SERVICE_S, MEAN_SERVICE_S**2 * (1 + cell.cv**2))
     mean, wide = interval([run["wait"] for run in runs])
     sample = fmean(run["wait"] for run in runs) / fmean(run["sample"] for run in runs) - 1
     recursion = mean / fmean(run["recursion"] for run in runs) - 1
@@ -205,7 +205,7 @@
         while under_way or (todo and time.monotonic() < end):
             while todo and len(under_way) < processes and time.monotonic() < end:
                 cell, seed = todo.pop(0)
-                under_way[pool.submit(play, cell, seed)] = cell, seed
+                under_way[pool.submit(simulate, cell, seed)] = cell, seed
             for future in wait(under_way, return_when=FIRST_COMPLETED).done:
                 yield *under_way.pop(future), future.result()
 
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import click
-from rig import cores, load, nodes, proxy, started
+from harness import closed_loop_load, cores, nodes, proxy, started_process
 
 
 @click.command()
@@ -25,10 +25,13 @@
     rows: list[dict[str, Any]] = []
     with nodes(8, free[0]) as (members, discovery):
         for n in [int(x) for x in connections.split(",")]:
-            with started([sys.executable, "benchmarks/relay.py", *members], free[1]) as (place, process):
-                relay = load(place, n, seconds, free[2:4], process)
+            with started_process([sys.executable, "benchmarks/relay.py", *members], free[1]) as (
+                place,
+                process,
+            ):
+                relay = closed_loop_load(place, n, seconds, free[2:4], process)
             with proxy(members, discovery, free[1]) as (place, process):
-                ours = load(place, n, seconds, free[2:4], process)
+                ours = closed_loop_load(place, n, seconds, free[2:4], process)
             row = {
                 "connections": n, "proxy": ours, "relay": relay,
                 "rate_ratio": round(ours["rate_per_s"] / relay["rate_per_s"], 3),
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -17,15 +17,15 @@
 from statistics import median
 from typing import Any
 
-from slatehub.store.files import Disk
-from slatehub.store.log import Log
+from slatehub.store.files import DiskFolder
+from slatehub.store.write_ahead_log import WriteAheadLog
 
 SIZE = 220  # bytes of an order's record, as the ledger writes it
 Commit = Callable[[list[bytes]], None]
 
 
 def ours(folder: str) -> Commit:
-    log = Log(Disk(folder))
+    log = WriteAheadLog(DiskFolder(folder))
     log.open()
     return log.commit
 
--- a/slatehub/cli/fleet.py
+++ b/slatehub/cli/fleet.py
@@ -11,7 +11,7 @@
 
 import click
 
-from ..settings import keys as keyfile
+from ..settings import key_file as keyfile
 
 LIMIT_S = 3.0
 COLUMNS = ("name", "address", "state", "for_s", "heard_s", "incarnation")
@@ -129,7 +129,7 @@
 def make(path: str, sign: bool) -> None:
     """Adds a new key to FILE, which is made where there is none."""
     count = _file(lambda: keyfile.add(path, sign))
-    click.echo(f"{path}: {count} of {keyfile.MOST} keys")
+    click.echo(f"{path}: {count} of {keyfile.MAX_KEYS} keys")
 
 
 @keys_group.command()
@@ -153,5 +153,5 @@
 def check(path: str) -> None:
     """Says whether FILE is good, and the ids of its keys."""
     found = _file(lambda: keyfile.read(path))
-    others = "".join(f", {key.ident.hex()} is valid too" for key in found[1:])
-    click.echo(f"{path}: signs with {found[0].ident.hex()}{others}")
+    others = "".join(f", {key.key_id.hex()} is valid too" for key in found[1:])
+    click.echo(f"{path}: signs with {found[0].key_id.hex()}{others}")
--- a/slatehub/cli/main.py
+++ b/slatehub/cli/main.py
@@ -18,32 +18,32 @@
 from gevent.lock import BoundedSemaphore
 
 from .. import __version__
-from ..core.desk import SalesDesk
-from ..core.recovery import RecoveryTerms
+from ..core.dispatcher import Dispatcher
+from ..core.recovery import RecoveryConfig
 from ..decisions.maintenance import Maintenance
-from ..decisions.shares import MGMT_FILES, OWN_FILES, split
+from ..decisions.resource_budget import MANAGEMENT_DESCRIPTORS, RESERVED_DESCRIPTORS, split_budget
 from ..discovery.node_list import NodeList
-from ..drivers.desk import DeskDriver
-from ..fronts.http1.screens import OrderHall
+from ..drivers.dispatcher import DispatcherDriver
+from ..fronts.http1.server import HttpServer
 from ..fronts.listener import listen
-from ..nodes.http1 import MachineRoom
-from ..observe.log import say, settle, where
-from ..settings.reader import Address, ConfigError, Plant, load, renew
-from .flights import Flights
+from ..nodes.http1 import NodePool
+from ..observe.log import configure, error_location, log_event
+from ..settings.reader import Address, ConfigError, ProxyConfig, load_config, merge_reloaded
 from .management import Management
 from .peers import Peers
 from .promises import Promises
+from .recorder_lifecycle import Flights
 
 
-def _plant(own: str | None) -> Plant:
+def _plant(own: str | None) -> ProxyConfig:
     try:
-        return load(os.environ, own)
+        return load_config(os.environ, own)
     except ConfigError as problem:
         click.echo(f"slatehub: {problem}", err=True)
         sys.exit(2)
 
 
-def descriptors(plant: Plant) -> int:
+def descriptors(plant: ProxyConfig) -> int:
     """How many this process may hold; the soft limit is raised where it stands in the way."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = plant.sockets if hard == resource.RLIM_INFINITY else min(plant.sockets, hard)
@@ -52,30 +52,36 @@
     return limit
 
 
-def shares(plant: Plant, linked: bool = False) -> tuple[int, int, int]:
+def resource_shares(plant: ProxyConfig, linked: bool = False) -> tuple[int, int, int]:
     """Descriptors of callers and of nodes, and bytes of requests in hand. What is recorded takes room from these.
     `linked`: half of it, as another process of this proxy has the rest."""
-    own = OWN_FILES + (MGMT_FILES if plant.mgmt else 0)
+    own = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if plant.mgmt else 0)
     own_mb = (
         plant.operator.recorder.memory_mb + plant.operator.fleet.memory_mb + plant.operator.copies.memory_mb
     )
-    callers, nodes, held = split(descriptors(plant), plant.memory_mb - own_mb, own)
+    callers, nodes, held = split_budget(descriptors(plant), plant.memory_mb - own_mb, own)
     return (callers // 2, nodes // 2, held // 2) if linked else (callers, nodes, held)
 
 
-def recovery(plant: Plant) -> RecoveryTerms:
+def recovery(plant: ProxyConfig) -> RecoveryConfig:
     storms = plant.operator.storms
-    return RecoveryTerms(storms.watch, storms.advice)  # type: ignore[arg-type]  # checked by the reader
+    return RecoveryConfig(storms.watch, storms.advice)  # type: ignore[arg-type]  # checked by the reader
 
 
-def settle_log(plant: Plant) -> None:
-    settle(**asdict(plant.operator.log), proxy=plant.name, tier=plant.settings.tier)
+def settle_log(plant: ProxyConfig) -> None:
+    configure(**asdict(plant.operator.log), proxy=plant.name, tier=plant.settings.tier)
 
 
 def unforeseen(context: Any, kind: type[BaseException], problem: BaseException | None, trace: Any) -> None:
     """What nobody caught, as a line of the log. gevent would print it to standard error, and wait there if need be."""
     problem = (problem or kind()).with_traceback(trace)
-    say("fault", f"nobody caught {kind.__name__}: {problem}", "error", by=context, where=where(problem))
+    log_event(
+        "fault",
+        f"nobody caught {kind.__name__}: {problem}",
+        "error",
+        by=context,
+        where=error_location(problem),
+    )
 
 
 def each(bell: Bell, act: Callable[[], None]) -> None:
@@ -86,16 +92,22 @@
         act()
 
 
-class Renewal:
+class SettingsReloader:
     """Reads the settings again, whole, and checks them, and only then swaps them, all at once. If anything is wrong,
     the old ones stay in force and a line names the key."""
 
     def __init__(
-        self, own: str | None, flights: Flights, listing: NodeList, room: MachineRoom, hall: OrderHall,
+        self, own: str | None, flights: Flights, listing: NodeList, room: NodePool, hall: HttpServer,
         management: Management, peers: Peers, promises: Promises,
     ) -> None:  # fmt: skip
         self.peers, self.promises = peers, promises
-        self.own, self.flights, self.listing, self.room, self.hall = own, flights, listing, room, hall
+        self.own, self.flights, self.node_list, self.node_pool, self.http_server = (
+            own,
+            flights,
+            listing,
+            room,
+            hall,
+        )
         self.management = management
         self.at_work = BoundedSemaphore()
 
@@ -110,23 +122,30 @@
 
     def _try(self) -> None:
         try:
-            self._renew()
+            self._reload()
         except ConfigError as problem:
-            say("settings", f"not taken, the old ones stay in force: {problem}", "error")
+            log_event("settings", f"not taken, the old ones stay in force: {problem}", "error")
         except Exception as problem:
-            say("fault", f"new settings: {type(problem).__name__}: {problem}", "error", where=where(problem))
-
-    def _renew(self) -> None:
-        plant = load(os.environ, self.own)
-        self.listing.check(plant)
-        old = self.hall.plant
+            log_event(
+                "fault",
+                f"new settings: {type(problem).__name__}: {problem}",
+                "error",
+                where=error_location(problem),
+            )
+
+    def _reload(self) -> None:
+        plant = load_config(os.environ, self.own)
+        self.node_list.validate_known(plant)
+        old = self.http_server.config
         # Port 0 asked for any port once; it does not ask for another one now.
-        listener = bound("listen", self.hall.bind, plant.listen) if plant.listen != old.listen else None
+        listener = (
+            bound("listen", self.http_server.bind, plant.listen) if plant.listen != old.listen else None
+        )
         mgmt = None
         try:
             mgmt = bound("mgmt", listen, plant.mgmt) if plant.mgmt and plant.mgmt != old.mgmt else None
-            plant = renew(old, plant)
-            callers, nodes, bytes_held = shares(plant, self.management.linked)
+            plant = merge_reloaded(old, plant)
+            callers, nodes, bytes_held = resource_shares(plant, self.management.linked)
             self.promises.check(plant)
             self.flights.settle(plant)
             self.peers.settle(plant)  # the last that may still find something wrong
@@ -137,12 +156,12 @@
         if plant.mgmt != old.mgmt:
             self.management.open(mgmt)
         settle_log(plant)
-        self.hall.desk.resettle(plant.settings, plant.max_open, recovery(plant))
-        self.room.resettle(plant, nodes)
+        self.http_server.dispatcher.apply_settings(plant.settings, plant.max_open, recovery(plant))
+        self.node_pool.apply_settings(plant, nodes)
         self.promises.settle(plant)
-        self.listing.resettle(plant)
-        self.hall.resettle(plant, callers, bytes_held, listener)
-        say("settings", "read again and in force")
+        self.node_list.apply_settings(plant)
+        self.http_server.apply_settings(plant, callers, bytes_held, listener)
+        log_event("settings", "read again and in force")
 
 
 def bound(key: str, bind: Callable[[Address], Any], place: Address) -> Any:
@@ -222,22 +241,22 @@
     sys.unraisablehook = lambda args: unforeseen(
         args.object, args.exc_type, args.exc_value, args.exc_traceback
     )
-    callers, nodes, bytes_held = shares(plant)
-    core = SalesDesk(plant.settings, plant.seed, plant.max_open, recovery(plant))
-    desk = DeskDriver(core)
-    room = MachineRoom(plant, desk, nodes)
+    callers, nodes, bytes_held = resource_shares(plant)
+    core = Dispatcher(plant.settings, plant.seed, plant.max_open, recovery(plant))
+    desk = DispatcherDriver(core)
+    room = NodePool(plant, desk, nodes)
     by_hand = Maintenance()
     listing = NodeList(plant, desk, room, by_hand)
-    hall = OrderHall(plant, desk, callers, bytes_held)
-    flights = Flights(core, desk.idents)
+    hall = HttpServer(plant, desk, callers, bytes_held)
+    flights = Flights(core, desk.node_ids)
     peers = Peers(plant, desk)
     promises = Promises(plant, desk, peers)
     stop = Bell()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stop.set)
-    desk.open(room, listing)
+    desk.start(room, listing)
     management = Management(
-        lambda linked: shares(hall.plant, linked), by_hand, listing, hall, room, peers, promises
+        lambda linked: resource_shares(hall.config, linked), by_hand, listing, hall, room, peers, promises
     )
     try:
         promises.check(plant)
@@ -245,10 +264,10 @@
         peers.settle(plant)
         promises.settle(plant)
         estate = management.inherit() if plant.mgmt else None
-        listing.start()
+        listing.load_known()
         if estate or plant.settings.pushed_discovery:
-            listing.fresh.wait(LIST_S)
-        hall.open(estate and estate.listener)
+            listing.updated.wait(LIST_S)
+        hall.start(estate and estate.listener)
         if plant.mgmt:
             management.take_over(estate)
             management.open(bound("mgmt", listen, plant.mgmt))
@@ -263,18 +282,19 @@
     gc.collect()
     gc.freeze()  # what is loaded now stays; collecting it again and again would only cost pauses
     host, port = hall.listener.getsockname()[:2]
-    say("start", f"{plant.name} listens on {host}:{port}, tier {plant.settings.tier}")
-    renew_all = Renewal(own, flights, listing, room, hall, management, peers, promises)
+    log_event("start", f"{plant.name} listens on {host}:{port}, tier {plant.settings.tier}")
+    renew_all = SettingsReloader(own, flights, listing, room, hall, management, peers, promises)
     gevent.spawn(each, renewal, renew_all)
     gevent.spawn(each, asked, flights.asked)
     stop.wait()
     renew_all.close()
-    say("stop", f"finishing {len(desk.ledger.names)} jobs in hand")
+    log_event("stop", f"finishing {len(desk.job_table.by_request_id)} jobs in hand")
     hall.stop()
     promises.leave()
     peers.leave()
     flights.finish()
-    say(
+    log_event(
         "stop",
-        f"done after {desk.ledger.last} jobs, {room.attempts} attempts, {room.opened} connections to nodes",
+        f"done after {desk.job_table.last_number} jobs, {room.attempts_sent} attempts, "
+        f"{room.connections_opened} connections to nodes",
     )
--- a/slatehub/cli/management.py
+++ b/slatehub/cli/management.py
@@ -7,25 +7,25 @@
 
 from ..decisions.maintenance import Maintenance
 from ..discovery.node_list import NodeList
-from ..fronts.http1.screens import OrderHall
-from ..nodes.http1 import MachineRoom
+from ..fronts.http1.server import HttpServer
+from ..nodes.http1 import NodePool
 from .peers import Peers
 from .promises import Promises
 
 if TYPE_CHECKING:
-    from ..handover.succession import Estate
+    from ..handover.hot_restart import InheritedState
     from .process import Process, Shares
 
 
 class Management:
     def __init__(
-        self, shares: Shares, by_hand: Maintenance, listing: NodeList, hall: OrderHall, room: MachineRoom, peers: Peers,
+        self, shares: Shares, by_hand: Maintenance, listing: NodeList, hall: HttpServer, room: NodePool, peers: Peers,
         promises: Promises,
     ) -> None:  # fmt: skip
         self.parts = (shares, by_hand, listing, hall, room, peers, promises)
         self.process: Process | None = None
-        promises.do = lambda tree: self._wanted().do(tree)
-        promises.out_here = by_hand.out
+        promises.do = lambda tree: self._wanted().apply_operation(tree)
+        promises.out_here = by_hand.started_at
 
     def _wanted(self) -> Process:
         if not self.process:
@@ -37,12 +37,12 @@
     @property
     def linked(self) -> bool:
         """Whether another process of this proxy lives."""
-        return self.process is not None and self.process.succession.linked
+        return self.process is not None and self.process.hot_restart.is_connected
 
-    def inherit(self) -> Estate | None:
+    def inherit(self) -> InheritedState | None:
         return self._wanted().inherit()
 
-    def take_over(self, estate: Estate | None) -> None:
+    def take_over(self, estate: InheritedState | None) -> None:
         self._wanted().take_over(estate)
 
     def open(self, listener: Any) -> None:
--- a/slatehub/cli/peers.py
+++ b/slatehub/cli/peers.py
@@ -5,9 +5,9 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..drivers.desk import DeskDriver
-from ..settings.operator import FleetTable, Wrong
-from ..settings.reader import ConfigError, Plant
+from ..drivers.dispatcher import DispatcherDriver
+from ..settings.operator import FleetConfig, InvalidSettingError
+from ..settings.reader import ConfigError, ProxyConfig
 
 if TYPE_CHECKING:
     from ..fleet.driver import FleetDriver
@@ -18,14 +18,14 @@
 class Peers:
     """`serving`: this process has the door, and so speaks for the proxy."""
 
-    def __init__(self, plant: Plant, desk: DeskDriver) -> None:
-        self.plant, self.desk = plant, desk
+    def __init__(self, plant: ProxyConfig, desk: DispatcherDriver) -> None:
+        self.config, self.dispatcher = plant, desk
         self.driver: FleetDriver | None = None
         self.serving = False
 
-    def settle(self, plant: Plant) -> None:
+    def settle(self, plant: ProxyConfig) -> None:
         """As the settings now want it. ConfigError, and nothing changed, where that cannot be."""
-        old, new = self.plant.operator.fleet, plant.operator.fleet
+        old, new = self.config.operator.fleet, plant.operator.fleet
         same = self.driver is not None and all(getattr(old, key) == getattr(new, key) for key in KEEPS)
         try:
             if same and self.driver:
@@ -34,11 +34,11 @@
             else:
                 made = self._made(plant, new)
                 self._replace(made)
-        except Wrong as problem:
+        except InvalidSettingError as problem:
             raise ConfigError(f"fleet.{problem.key}: {problem}") from None
-        self.plant = plant
+        self.config = plant
 
-    def _made(self, plant: Plant, terms: FleetTable) -> FleetDriver | None:
+    def _made(self, plant: ProxyConfig, terms: FleetConfig) -> FleetDriver | None:
         if not terms.listen:
             return None
         if len(plant.name) > 64:
@@ -51,19 +51,21 @@
         if self.driver:
             self.driver.close(leave=made is None)
         self.driver = made
-        self._share(made is not None and made.terms.share)
+        self._share(made is not None and made.settings.share)
         if self.serving and made:
             made.open()
 
     def _share(self, wanted: bool) -> None:
         """Whether our load is told, and that of all heard."""
-        desk = self.desk.desk
+        desk = self.dispatcher.dispatcher
         if not (wanted and self.driver):
             if self.driver:
-                self.driver.peer.share = None
-            desk.teller = None
-        elif self.driver.peer.share is None:
-            desk.teller = self.driver.share(lambda: desk.balancer, self.desk.peers)
+                self.driver.peer.load_sharing = None
+            desk.batch_observer = None
+        elif self.driver.peer.load_sharing is None:
+            desk.batch_observer = self.driver.start_load_sharing(
+                lambda: desk.balancer, self.dispatcher.update_peers
+            )
 
     def serve(self) -> None:
         """This process speaks for the proxy from now on."""
--- a/slatehub/cli/flights.py
+++ b/slatehub/cli/recorder_lifecycle.py
@@ -9,16 +9,16 @@
 from paddlestep import balance
 
 from .. import __version__
-from ..core.desk import SalesDesk
-from ..observe.log import say
-from ..settings.operator import RecorderTerms
-from ..settings.reader import ConfigError, Plant
+from ..core.dispatcher import Dispatcher
+from ..observe.log import log_event
+from ..settings.operator import RecorderConfig
+from ..settings.reader import ConfigError, ProxyConfig
 
 if TYPE_CHECKING:
     from ..observe.recorder import FlightRecorder
 
 
-def fingerprint() -> str:
+def module_sha256() -> str:
     """SHA-256 of the decision module's text. To be taken at the start: later the file may be another."""
     try:
         with open(str(balance.__file__), "rb") as file:
@@ -28,14 +28,14 @@
 
 
 class Flights:
-    def __init__(self, desk: SalesDesk, idents: dict[int, str]) -> None:
-        self.desk = desk
-        self.idents = idents
-        self.module = fingerprint()
-        self.terms = RecorderTerms()
+    def __init__(self, desk: Dispatcher, idents: dict[int, str]) -> None:
+        self.dispatcher = desk
+        self.node_ids = idents
+        self.module = module_sha256()
+        self.terms = RecorderConfig()
         self.recorder: FlightRecorder | None = None
 
-    def settle(self, plant: Plant) -> None:
+    def settle(self, plant: ProxyConfig) -> None:
         """As the settings now want it. ConfigError, and nothing changed, where it cannot be switched on."""
         terms = plant.operator.recorder
         if not terms.batches:
@@ -43,21 +43,21 @@
         elif self.recorder is None or self.recorder.ring is None:
             self.recorder = self._made(plant, terms)
         if self.recorder:
-            self.recorder.settle(self._about(plant), terms.batches, terms.folder, terms.keep)
+            self.recorder.configure(self._about(plant), terms.batches, terms.folder, terms.keep)
         self.terms = terms
-        self.desk.recorder = self.recorder
+        self.dispatcher.recorder = self.recorder
 
-    def _made(self, plant: Plant, terms: RecorderTerms) -> FlightRecorder:
+    def _made(self, plant: ProxyConfig, terms: RecorderConfig) -> FlightRecorder:
         try:
             from ..observe.recorder import FlightRecorder
 
-            return FlightRecorder(lambda: self.desk.balancer, lambda: self.idents, terms.batches)
+            return FlightRecorder(lambda: self.dispatcher.balancer, lambda: self.node_ids, terms.batches)
         except Exception as problem:  # installed and yet not to be loaded, or a module that cannot be frozen
             raise ConfigError(
                 f"recorder.batches: cannot record: {type(problem).__name__}: {problem}"
             ) from None
 
-    def _about(self, plant: Plant) -> tuple[str, int, str, str]:
+    def _about(self, plant: ProxyConfig) -> tuple[str, int, str, str]:
         return plant.name, plant.settings.tier, __version__, self.module
 
     def asked(self) -> None:
@@ -65,7 +65,7 @@
         if self.recorder:
             self.recorder.write("asked")
         else:
-            say("recorder", "is off, so there is nothing to write: see recorder.batches", "warning")
+            log_event("recorder", "is off, so there is nothing to write: see recorder.batches", "warning")
 
     def finish(self) -> None:
         if self.recorder:
--- a/slatehub/cli/store.py
+++ b/slatehub/cli/store.py
@@ -16,14 +16,24 @@
 from msgspec.structs import asdict
 
 from ..copies.acceptor import Acceptor
-from ..copies.words import CONFIG, Adopted, BadWords, Caught, Record, Took, config, pack, record
-from ..decisions.ledger import DONE, NEVER, OPEN, read
-from ..store.files import Disk, Files
-from ..store.frames import scan
-from ..store.log import Log, Recovered, StoreError
-from ..store.log import records as every
-
-STATES = {OPEN: "sent", NEVER: "never ran", DONE: "ran"}
+from ..copies.messages import (
+    CONFIG_KEY,
+    CaughtUp,
+    ConfigAdopted,
+    LogRecord,
+    MessageError,
+    StateAccepted,
+    decode_config,
+    decode_record,
+    pack,
+)
+from ..decisions.idempotency import STATE_COMPLETED, STATE_NEVER_RAN, STATE_SENT, decode_idempotency_record
+from ..store.files import DiskFolder, Folder
+from ..store.frames import scan_frames
+from ..store.write_ahead_log import RecoveryResult, StoreError, WriteAheadLog
+from ..store.write_ahead_log import iter_records as every
+
+STATES = {STATE_SENT: "sent", STATE_NEVER_RAN: "never ran", STATE_COMPLETED: "ran"}
 folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
@@ -31,10 +41,10 @@
     """A folder that is only looked at."""
 
     def __init__(self, folder: str) -> None:
-        self.disk = Disk(folder)
+        self.disk = DiskFolder(folder)
 
-    def names(self) -> list[str]:
-        return [name for name in self.disk.names() if name != "lock"]
+    def list_names(self) -> list[str]:
+        return [name for name in self.disk.list_names() if name != "lock"]
 
     def read(self, name: str) -> bytes:
         return self.disk.read(name)
@@ -49,13 +59,13 @@
 
     def sync(self) -> None: ...
 
-    def cut(self, name: str, size: int) -> None: ...
+    def truncate(self, name: str, size: int) -> None: ...
 
     def replace(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None: ...
+    def sync_directory(self) -> None: ...
 
     def close(self) -> None: ...
 
@@ -66,7 +76,7 @@
 
 
 @contextmanager
-def looked(folder: str) -> Iterator[Files]:
+def looked(folder: str) -> Iterator[Folder]:
     try:
         glass = Glass(folder)
     except OSError as problem:
@@ -77,24 +87,28 @@
         glass.disk.close()
 
 
-def opened(files: Files) -> tuple[Log, Recovered]:
-    log = Log(files)
+def opened(files: Folder) -> tuple[WriteAheadLog, RecoveryResult]:
+    log = WriteAheadLog(files)
     try:
         return log, log.open()
     except (StoreError, OSError) as problem:
         raise click.ClickException(str(problem)) from None
 
 
-def shown(one: Record) -> dict[str, Any]:
+def shown(one: LogRecord) -> dict[str, Any]:
     """A record as JSON; of an order, what is known of it."""
-    if isinstance(one, Took):
-        row = one.row
-        tree: dict[str, Any] = {"register": row.key.hex(), "counter": row.ballot.counter, "until": row.until}
-        if row.key == CONFIG:
-            return tree | {"group": msgspec.to_builtins(config(row.value))}
-        entry = read(row.value)
+    if isinstance(one, StateAccepted):
+        row = one.state
+        tree: dict[str, Any] = {
+            "register": row.key.hex(),
+            "counter": row.ballot.counter,
+            "until": row.expires_at_s,
+        }
+        if row.key == CONFIG_KEY:
+            return tree | {"group": msgspec.to_builtins(decode_config(row.value))}
+        entry = decode_idempotency_record(row.value)
         return tree | (asdict(entry) | {"state": STATES[entry.state]} if entry else {"unread": True})
-    kind = {Adopted: "group", Caught: "caught up"}.get(type(one), "ceiling")
+    kind = {ConfigAdopted: "group", CaughtUp: "caught up"}.get(type(one), "ceiling")
     return {"record": kind, "value": msgspec.to_builtins(one)[1]}
 
 
@@ -103,22 +117,24 @@
 def verify(folder: str) -> None:
     """Whether all that had been durable can be read. Exit 1 where not: such a machine counts as a new voter."""
     with looked(folder) as files:
-        for name in files.names():
-            for begin, end in scan(files.read(name)).gaps:
+        for name in files.list_names():
+            for begin, end in scan_frames(files.read(name)).gaps:
                 click.echo(f"{name}: bytes {begin} to {end} are no records")
         _, found = opened(files)
         unread = 0
         for body in found.records:
             try:
-                record(body)
-            except BadWords:
+                decode_record(body)
+            except MessageError:
                 unread += 1
     for line in found.damage:
         click.echo(f"damage: {line}")
-    if found.copied:
+    if found.is_copy:
         click.echo("copied: this folder was made elsewhere, and counts as a new voter")
-    click.echo(f"{len(found.records)} records, {found.cut} bytes cut short, {unread} of another version")
-    sys.exit(1 if found.damage or found.copied or unread else 0)
+    click.echo(
+        f"{len(found.records)} records, {found.truncated_bytes} bytes cut short, {unread} of another version"
+    )
+    sys.exit(1 if found.damage or found.is_copy or unread else 0)
 
 
 @store.command()
@@ -128,20 +144,20 @@
     with looked(folder) as files:
         for name, at, body in every(files):
             try:
-                line = shown(record(body))
-            except BadWords:
+                line = shown(decode_record(body))
+            except MessageError:
                 line = {"unread": body.hex()}
             click.echo(json.dumps({"file": name, "at": at} | line, default=repr))
 
 
-def held(folder: str) -> tuple[Log, Recovered, Acceptor, list[Record]]:
+def held(folder: str) -> tuple[WriteAheadLog, RecoveryResult, Acceptor, list[LogRecord]]:
     with looked(folder) as files:
         log, found = opened(files)
     good = []
     for body in found.records:
         try:
-            good.append(record(body))
-        except BadWords:
+            good.append(decode_record(body))
+        except MessageError:
             continue
     acceptor = Acceptor(2_000_000)
     acceptor.restore(good, 0)
@@ -155,17 +171,17 @@
     log, found, acceptor, good = held(folder)
     states = Counter[str]()
     for register in acceptor.registers.values():
-        entry = read(register.row.value)
+        entry = decode_idempotency_record(register.state.value)
         states[STATES[entry.state] if entry else "other"] += 1
-    groups = [one.config for one in good if isinstance(one, Adopted)]
+    groups = [one.config for one in good if isinstance(one, ConfigAdopted)]
     newest = max(groups, key=lambda group: group.epoch, default=None)
     click.echo(
-        f"store: {log.store:016x}\nrecords: {len(found.records)}\nregisters: {len(acceptor.registers)}"
+        f"store: {log.store_id:016x}\nrecords: {len(found.records)}\nregisters: {len(acceptor.registers)}"
     )
     click.echo("\n".join(f"  {state}: {count}" for state, count in sorted(states.items())))
     click.echo(f"epoch: {newest.epoch if newest else 0}")
     click.echo(f"voters: {', '.join(v.name for v in newest.voters) if newest else '-'}")
-    click.echo(f"bytes of log: {log.bytes}")
+    click.echo(f"bytes of log: {log.size}")
 
 
 @store.command()
@@ -174,7 +190,7 @@
     """The registers as they stand, a line of JSON each."""
     _, _, acceptor, _ = held(folder)
     for register in acceptor.registers.values():
-        click.echo(json.dumps(shown(Took(register.row)), default=repr))
+        click.echo(json.dumps(shown(StateAccepted(register.state)), default=repr))
 
 
 @store.command()
@@ -182,22 +198,22 @@
 def compact(folder: str) -> None:
     """Writes what still counts into one checkpoint, as a running proxy does by itself."""
     try:
-        log = Log(Disk(folder))
+        log = WriteAheadLog(DiskFolder(folder))
         found = log.open()
-        if found.damage or found.copied:
+        if found.damage or found.is_copy:
             raise click.ClickException("not sound: `slatehub store verify` tells more")
-        good = [record(body) for body in found.records]
+        good = [decode_record(body) for body in found.records]
         acceptor = Acceptor(2_000_000)
         acceptor.restore(good, 0)
-        epochs = [x for x in good if isinstance(x, Adopted)][-1:] + [
-            x for x in good if isinstance(x, Caught)
+        epochs = [x for x in good if isinstance(x, ConfigAdopted)][-1:] + [
+            x for x in good if isinstance(x, CaughtUp)
         ][-1:]
-        before = log.bytes
+        before = log.size
         checkpoint = log.checkpoint()
-        checkpoint.put([pack(one) for one in (*epochs, *acceptor.snapshot())])
+        checkpoint.append([pack(one) for one in (*epochs, *acceptor.snapshot())])
         checkpoint.finish()
         log.close()
-    except (BadWords, StoreError, OSError) as problem:
+    except (MessageError, StoreError, OSError) as problem:
         raise click.ClickException(str(getattr(problem, "strerror", None) or problem)) from None
     size = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
     click.echo(f"{before} bytes of log, {size} bytes now")
--- a/slatehub/copies/acceptor.py
+++ b/slatehub/copies/acceptor.py
@@ -13,42 +13,42 @@
 from collections.abc import Iterable, Iterator
 from hashlib import blake2b
 
-from .words import (
-    BUCKETS,
-    CONFIG,
+from .messages import (
+    CONFIG_KEY,
+    DIGEST_RANGES,
     FULL,
     LATE,
     NONE,
     Accept,
     Accepted,
     Ballot,
-    Floor,
+    BallotCeiling,
+    LogRecord,
     Prepare,
     Promise,
-    Record,
-    Refused,
-    Row,
-    Took,
+    RegisterState,
+    Rejected,
+    StateAccepted,
 )
 
 RESERVE = 1 << 20  # counters by which the ceiling is raised at once
-FAR = 1 << 40  # a counter so far above all that were seen is no proposer's of ours
-SLACK_S = 600  # by which clocks may differ: nothing is forgotten before that is over too
+MAX_COUNTER_JUMP = 1 << 40  # a counter so far above all that were seen is no proposer's of ours
+CLOCK_SKEW_S = 600  # by which clocks may differ: nothing is forgotten before that is over too
 SPAN_S = 60  # registers that expire together
 
 
 class Register:
-    __slots__ = ("mark", "promised", "row")
+    __slots__ = ("mark", "promised", "state")
 
     def __init__(self, key: bytes) -> None:
         self.promised = NONE
-        self.row = Row(key, NONE, 0, b"")
+        self.state = RegisterState(key, NONE, 0, b"")
         self.mark = 0  # the record that holds the row
 
     @property
     def bar(self) -> Ballot:
         """Nothing below it is taken any more."""
-        return max(self.promised, self.row.ballot)
+        return max(self.promised, self.state.ballot)
 
 
 class Acceptor:
@@ -56,92 +56,96 @@
     registers at the most."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
+        self.max_registers = most
         self.registers: dict[bytes, Register] = {}
-        self.floor = 0  # ballots up to this counter are taken for promised away
+        self.min_counter = 0  # ballots up to this counter are taken for promised away
         self.ceiling = 0  # written down: none above it has been promised
         self.ceiling_mark = 0
         self.highest = 0  # counter that was seen
-        self.records: list[Record] = []
+        self.pending_records: list[LogRecord] = []
         self.mark = 0
-        self.digests = [0] * BUCKETS
-        self.sorted: list[list[bytes]] = [[] for _ in range(BUCKETS)]  # keys that hold something
+        self.range_digests = [0] * DIGEST_RANGES
+        self.sorted: list[list[bytes]] = [[] for _ in range(DIGEST_RANGES)]  # keys that hold something
         self.ends: defaultdict[int, list[bytes]] = defaultdict(list)  # by minute of their end
         self.refused_far = 0
 
     # ------------------------------------------------------------ written down
 
-    def write(self, record: Record) -> int:
+    def append_record(self, record: LogRecord) -> int:
         """Its number."""
-        self.records.append(record)
+        self.pending_records.append(record)
         self.mark += 1
         return self.mark
 
-    def restore(self, records: Iterable[Record], now_s: int) -> None:
+    def restore(self, records: Iterable[LogRecord], now_s: int) -> None:
         """What an earlier life wrote down."""
         for record in records:
-            if isinstance(record, Floor):
-                self.floor = max(self.floor, record.counter)
-            elif isinstance(record, Took):
-                if _over(record.row, now_s):
-                    self.floor = max(self.floor, record.row.ballot.counter)
+            if isinstance(record, BallotCeiling):
+                self.min_counter = max(self.min_counter, record.counter)
+            elif isinstance(record, StateAccepted):
+                if _over(record.state, now_s):
+                    self.min_counter = max(self.min_counter, record.state.ballot.counter)
                 else:
-                    self._put(record.row, 0)
-        self.ceiling = self.floor
-        self.highest = max([self.floor, *(r.row.ballot.counter for r in self.registers.values())])
+                    self._put(record.state, 0)
+        self.ceiling = self.min_counter
+        self.highest = max([self.min_counter, *(r.state.ballot.counter for r in self.registers.values())])
 
-    def snapshot(self) -> Iterator[Record]:
+    def snapshot(self) -> Iterator[LogRecord]:
         """All that a checkpoint must hold; registers may change while it is taken, as their records come after it."""
-        yield Floor(self.ceiling)
+        yield BallotCeiling(self.ceiling)
         for key in list(self.registers):
-            if (register := self.registers.get(key)) and register.row.ballot != NONE:
-                yield Took(register.row)
+            if (register := self.registers.get(key)) and register.state.ballot != NONE:
+                yield StateAccepted(register.state)
 
     # ------------------------------------------------------------ asked
 
-    def prepare(self, now_s: int, message: Prepare) -> tuple[Promise | Refused, int]:
+    def prepare(self, now_s: int, message: Prepare) -> tuple[Promise | Rejected, int]:
         """The answer, and the record that must be durable before it goes out."""
         ballot = message.ballot
         register = self.registers.get(message.key)
         if not self._sound(ballot) or (register is None and not self._room(message.key)):
-            return self._refused(message.op, ballot, register, LATE if self._room(message.key) else FULL)
-        if ballot.counter <= self.floor or (register and ballot <= register.bar):
-            return self._refused(message.op, ballot, register, LATE)
+            return self._refused(
+                message.operation, ballot, register, LATE if self._room(message.key) else FULL
+            )
+        if ballot.counter <= self.min_counter or (register and ballot <= register.bar):
+            return self._refused(message.operation, ballot, register, LATE)
         if register is None:
             register = self._new(message.key)
             self.ends[now_s // SPAN_S].append(message.key)  # it may never hold anything
         register.promised = ballot
         self._reserve(ballot.counter)
-        row = register.row
+        row = register.state
         if _over(row, now_s):
-            row = Row(row.key, row.ballot, 0, b"")  # it is forgotten in a moment; its ballot still counts
-        answer = Promise(message.op, ballot, row.ballot, row.until, row.value)
+            row = RegisterState(
+                row.key, row.ballot, 0, b""
+            )  # it is forgotten in a moment; its ballot still counts
+        answer = Promise(message.operation, ballot, row.ballot, row.expires_at_s, row.value)
         return answer, self.ceiling_mark
 
-    def accept(self, message: Accept) -> tuple[Accepted | Refused, int]:
-        ballot, row = message.row.ballot, message.row
+    def accept(self, message: Accept) -> tuple[Accepted | Rejected, int]:
+        ballot, row = message.state.ballot, message.state
         register = self.registers.get(row.key)
-        if not self._sound(message.then) or (register is None and not self._room(row.key)):
-            return self._refused(message.op, ballot, register, LATE if self._room(row.key) else FULL)
-        again = register is not None and register.row.ballot == ballot and register.row.value == row.value
+        if not self._sound(message.next_ballot) or (register is None and not self._room(row.key)):
+            return self._refused(message.operation, ballot, register, LATE if self._room(row.key) else FULL)
+        again = register is not None and register.state.ballot == ballot and register.state.value == row.value
         # Asked again, or known through another voter. A higher promise since then, in this life or perhaps in the one
         # before, forbids a yes all the same: who has it may have been told that nothing stood here.
         bar = register.bar if register else NONE
         late = (
             ballot < bar
             if not again
-            else register is not None and register.promised > max(ballot, message.then)
+            else register is not None and register.promised > max(ballot, message.next_ballot)
         )
-        if late or ballot.counter <= self.floor:
-            return self._refused(message.op, ballot, register, LATE)
+        if late or ballot.counter <= self.min_counter:
+            return self._refused(message.operation, ballot, register, LATE)
         register = register or self._new(row.key)
-        register.promised = max(register.promised, ballot, message.then)
+        register.promised = max(register.promised, ballot, message.next_ballot)
         self._reserve(register.promised.counter)
         if not again:
-            self._put(row, self.write(Took(row)))
-        return Accepted(message.op, ballot), register.mark
+            self._put(row, self.append_record(StateAccepted(row)))
+        return Accepted(message.operation, ballot), register.mark
 
-    def merge(self, row: Row, now_s: int) -> None:
+    def merge(self, row: RegisterState, now_s: int) -> None:
         """What another voter has accepted. It is no vote of ours, only known here: where a majority holds it, one more
         does now. Our promises stay as they are."""
         if _over(row, now_s) or not self._sound(row.ballot):
@@ -149,43 +153,43 @@
         register = self.registers.get(row.key)
         if register is None and not self._room(row.key):
             return
-        if register is None or row.ballot > register.row.ballot:
-            self._put(row, self.write(Took(row)))
+        if register is None or row.ballot > register.state.ballot:
+            self._put(row, self.append_record(StateAccepted(row)))
 
-    def _refused(self, op: int, ballot: Ballot, register: Register | None, why: int) -> tuple[Refused, int]:
-        counter = max(self.floor, register.bar.counter if register else 0)
-        return Refused(op, ballot, counter, why, 0), 0
+    def _refused(self, op: int, ballot: Ballot, register: Register | None, why: int) -> tuple[Rejected, int]:
+        counter = max(self.min_counter, register.bar.counter if register else 0)
+        return Rejected(op, ballot, counter, why, 0), 0
 
     def _sound(self, ballot: Ballot) -> bool:
         """Guards against one counter beyond all, after which nobody could be let in any more."""
-        if ballot.counter > self.highest + FAR:
+        if ballot.counter > self.highest + MAX_COUNTER_JUMP:
             self.refused_far += 1
             return False
         self.highest = max(self.highest, ballot.counter)
         return True
 
     def _room(self, key: bytes) -> bool:
-        return len(self.registers) < self.most or key in self.registers or key == CONFIG
+        return len(self.registers) < self.max_registers or key in self.registers or key == CONFIG_KEY
 
     def _reserve(self, counter: int) -> None:
         if counter > self.ceiling:
             self.ceiling = counter + RESERVE
-            self.ceiling_mark = self.write(Floor(self.ceiling))
+            self.ceiling_mark = self.append_record(BallotCeiling(self.ceiling))
 
     def _new(self, key: bytes) -> Register:
         register = self.registers[key] = Register(key)
         return register
 
-    def _put(self, row: Row, mark: int) -> None:
+    def _put(self, row: RegisterState, mark: int) -> None:
         register = self.registers.get(row.key) or self._new(row.key)
-        if row.ballot < register.row.ballot:
+        if row.ballot < register.state.ballot:
             return
-        self._toggle(register.row)
-        if register.row.ballot == NONE:
+        self._toggle(register.state)
+        if register.state.ballot == NONE:
             insort(self.sorted[bucket(row.key)], row.key)
-        if row.until and row.until // SPAN_S != register.row.until // SPAN_S:
-            self.ends[row.until // SPAN_S].append(row.key)
-        register.row, register.mark = row, mark
+        if row.expires_at_s and row.expires_at_s // SPAN_S != register.state.expires_at_s // SPAN_S:
+            self.ends[row.expires_at_s // SPAN_S].append(row.key)
+        register.state, register.mark = row, mark
         self._toggle(row)
 
     # ------------------------------------------------------------ time
@@ -196,7 +200,7 @@
         looked = 0
         while looked < most and self.ends:
             span = min(self.ends)
-            if (span + 1) * SPAN_S + SLACK_S >= now_s:
+            if (span + 1) * SPAN_S + CLOCK_SKEW_S >= now_s:
                 break
             keys = self.ends[span]
             while keys and looked < most:
@@ -208,22 +212,22 @@
 
     def _forget(self, key: bytes, now_s: int) -> None:
         register = self.registers.get(key)
-        if register and (register.row.ballot == NONE or _over(register.row, now_s)):
-            self.floor = max(self.floor, register.row.ballot.counter, register.promised.counter)
-            self._reserve(self.floor)
-            self._toggle(register.row)
-            if register.row.ballot != NONE:
+        if register and (register.state.ballot == NONE or _over(register.state, now_s)):
+            self.min_counter = max(self.min_counter, register.state.ballot.counter, register.promised.counter)
+            self._reserve(self.min_counter)
+            self._toggle(register.state)
+            if register.state.ballot != NONE:
                 part = self.sorted[bucket(key)]
                 del part[bisect_left(part, key)]
             del self.registers[key]
 
     # ------------------------------------------------------------ compared
 
-    def _toggle(self, row: Row) -> None:
+    def _toggle(self, row: RegisterState) -> None:
         if row.ballot != NONE:
-            text = row.key + row.ballot.counter.to_bytes(8, "big") + row.ballot.by.to_bytes(8, "big")
+            text = row.key + row.ballot.counter.to_bytes(8, "big") + row.ballot.proposer.to_bytes(8, "big")
             hashed = int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 1
-            self.digests[bucket(row.key)] ^= hashed
+            self.range_digests[bucket(row.key)] ^= hashed
 
     def keys(self, number: int, after: bytes, most: int) -> list[bytes]:
         """The next of one part, in order."""
@@ -231,14 +235,14 @@
         begin = bisect_right(part, after)
         return part[begin : begin + most]
 
-    def held(self, key: bytes) -> Row | None:
+    def get(self, key: bytes) -> RegisterState | None:
         register = self.registers.get(key)
-        return register.row if register and register.row.ballot != NONE else None
+        return register.state if register and register.state.ballot != NONE else None
 
 
 def bucket(key: bytes) -> int:
-    return key[0] % BUCKETS
+    return key[0] % DIGEST_RANGES
 
 
-def _over(row: Row, now_s: int) -> bool:
-    return bool(row.until) and row.until + SLACK_S < now_s
+def _over(row: RegisterState, now_s: int) -> bool:
+    return bool(row.expires_at_s) and row.expires_at_s + CLOCK_SKEW_S < now_s
--- a/slatehub/copies/outs.py
+++ b/slatehub/copies/fleet_maintenance.py
@@ -10,12 +10,20 @@
 import gevent
 from gevent.event import AsyncResult
 
-from ..decisions.outs import BUCKETS, Call, Held, bucket, read, register, same
+from ..decisions.maintenance_registers import (
+    REGISTER_COUNT,
+    NodesInMaintenance,
+    SetNodeMaintenance,
+    decode_value,
+    register_key,
+    register_number,
+    rewrite_unchanged,
+)
 from ..drivers.clock import clock
-from ..observe.log import say, where
-from .machine import LEFT, WROTE, Change, Result
+from ..observe.log import error_location, log_event
+from .replica import UNCHANGED, WRITTEN, Change, OperationResult
 
-TOPIC = 2  # of the fleet's link
+MAINTENANCE_TOPIC = 2  # of the fleet's link
 CALL_US = 700_000  # for a majority
 LOOK_S = 1.0  # between two reads of one register, once all have been read
 FIRST_S = 0.1  # while no majority is there
@@ -24,16 +32,16 @@
 
 class Group(Protocol):
     def propose(
-        self, key: bytes, change: Change, until: int, done: Callable[[Result], None], limit: int = 0
+        self, key: bytes, change: Change, until: int, done: Callable[[OperationResult], None], limit: int = 0
     ) -> None: ...
 
-    def available(self) -> bool: ...
+    def has_quorum(self) -> bool: ...
 
-    def tell(self, topic: int, body: bytes) -> None:
+    def broadcast(self, topic: int, body: bytes) -> None:
         """To all who are there."""
 
 
-class Outs:
+class FleetMaintenance:
     """`do`: a call at this proxy alone, as the other process of an upgrade would have it done; its status. `mine`: the
     nodes that are out here, perhaps from an earlier life: the registers are right."""
 
@@ -41,7 +49,7 @@
         self, group: Group, do: Callable[[dict[str, Any]], int], mine: Callable[[], Iterable[str]]
     ) -> None:
         self.group, self.do, self.mine = group, do, mine
-        self.known: dict[int, Held] = {}
+        self.known: dict[int, NodesInMaintenance] = {}
         self.greenlet: Any = None
 
     def open(self) -> None:
@@ -53,20 +61,20 @@
 
     # ------------------------------------------------------------ an operator's call
 
-    def call(self, ident: str, out: bool) -> str:
+    def set_for_fleet(self, ident: str, out: bool) -> str:
         """Waits for a majority, a second at the most. Why it was not done, or "": it binds all from now on."""
-        number = bucket(ident)
-        call = Call(ident, out, clock() // 1000)
+        number = register_number(ident)
+        call = SetNodeMaintenance(ident, out, clock() // 1000)
         result = self._ask(number, call)
-        if result.how == WROTE:
+        if result.outcome == WRITTEN:
             self._heard(number, result.value)
             gevent.spawn(self._tell, number, result.value)
             return ""
-        return call.why or "no majority of the voters is there; perhaps it will be done all the same"
+        return call.error or "no majority of the voters is there; perhaps it will be done all the same"
 
-    def _ask(self, number: int, change: Change) -> Result:
-        answer: AsyncResult[Result] = AsyncResult()
-        self.group.propose(register(number), change, 0, answer.set, CALL_US)
+    def _ask(self, number: int, change: Change) -> OperationResult:
+        answer: AsyncResult[OperationResult] = AsyncResult()
+        self.group.propose(register_key(number), change, 0, answer.set, CALL_US)
         found = answer.get()
         assert found
         return found
@@ -74,49 +82,51 @@
     def _tell(self, number: int, value: bytes) -> None:
         for wait in TELL_AGAIN_S:
             gevent.sleep(wait)
-            self.group.tell(TOPIC, bytes([number]) + value)
+            self.group.broadcast(MAINTENANCE_TOPIC, bytes([number]) + value)
 
     # ------------------------------------------------------------ news
 
-    def posted(self, now: int, sender: str, body: bytes) -> None:
+    def receive(self, now: int, sender: str, body: bytes) -> None:
         """What another proxy says stands there: decided, as it says so only of what was."""
-        if body and body[0] < BUCKETS:
+        if body and body[0] < REGISTER_COUNT:
             self._heard(body[0], body[1:])
 
     def _heard(self, number: int, value: bytes) -> None:
-        held, known = read(value), self.known.get(number)
-        if held is None or (known and held.turn <= known.turn):
+        held, known = decode_value(value), self.known.get(number)
+        if held is None or (known and held.version <= known.version):
             return
-        known = known or Held(out={ident: 0 for ident in self.mine() if bucket(ident) == number})
+        known = known or NodesInMaintenance(
+            started_at={ident: 0 for ident in self.mine() if register_number(ident) == number}
+        )
         self.known[number] = held
-        for ident in [x for x in known.out if x not in held.out]:
+        for ident in [x for x in known.started_at if x not in held.started_at]:
             self._done({"call": "ready", "ident": ident})
-        for ident in [x for x in held.out if x not in known.out]:
+        for ident in [x for x in held.started_at if x not in known.started_at]:
             self._done({"call": "maint", "ident": ident})
 
     def _done(self, tree: dict[str, Any]) -> None:
         try:
             self.do(tree)
         except Exception as problem:
-            say(
+            log_event(
                 "fault",
                 f"nodes out by hand: {type(problem).__name__}: {problem}",
                 "error",
-                where=where(problem),
+                where=error_location(problem),
             )
 
     def _look(self) -> None:
         """Reads one register after another, without end: all of them at once at the start, and whenever no majority was
         there for a while; else slowly, as a net below the news that was lost."""
-        due, number = set(range(BUCKETS)), 0
+        due, number = set(range(REGISTER_COUNT)), 0
         while True:
-            if not self.group.available():
-                due = set(range(BUCKETS))
+            if not self.group.has_quorum():
+                due = set(range(REGISTER_COUNT))
                 gevent.sleep(FIRST_S)
                 continue
-            number = min(due) if due else (number + 1) % BUCKETS
-            result = self._ask(number, same)
-            if result.how in (WROTE, LEFT):
+            number = min(due) if due else (number + 1) % REGISTER_COUNT
+            result = self._ask(number, rewrite_unchanged)
+            if result.outcome in (WRITTEN, UNCHANGED):
                 self._heard(number, result.value)
                 due.discard(number)
             gevent.sleep(0 if due else LOOK_S)
--- a/slatehub/core/actions.py
+++ b/slatehub/core/commands.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deliver:
+class DeliverAnswer:
     """The one final answer of a job, for the screen it came from: at once."""
 
     job: Job
@@ -19,51 +19,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """An attempt goes out. Its end is told to the desk once, by `ended`."""
+class StartAttempt:
+    """An attempt goes out. Its end is told to the desk once, by `attempt_ended`."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """The intent of this attempt is to be made durable; then `cleared`, or `settled` with what is known of it."""
+class PersistIntent:
+    """The intent of this attempt is to be made durable; then `intent_persisted`, or `intent_rejected` with what is
+    known of it."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class PersistOutcome:
     """How an attempt ended whose intent was made durable."""
 
     attempt: Attempt
     status: Status
-    printed: Any = None
+    response: Any = None
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class CancelAttempt:
     """An attempt is given up. Its end is told all the same."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class WatchList:
+class WatchNodes:
     """The list of nodes is to be watched from now on, or no longer."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     """A line for the log, with the node and the exception that it is about, where there are any."""
 
     topic: str
     text: str
     level: str = "info"  # debug, info, warning or error
     endpoint: int = 0
-    problem: Exception | None = None
+    error: Exception | None = None
 
 
-Act = Deliver | Start | Keep | Kept | Withdraw | WatchList | Say
+Command = DeliverAnswer | StartAttempt | PersistIntent | PersistOutcome | CancelAttempt | WatchNodes | LogLine
--- a/slatehub/decisions/advice/__init__.py
+++ b/slatehub/decisions/advice/__init__.py
@@ -6,17 +6,26 @@
 from dataclasses import replace
 from random import Random
 
-from .appointments import Appointments
-from .simple import Exponential, FixedJitter
-from .terms import AdviceTerms, Adviser, Coming, Way
+from .backoff import ExponentialBackoff, FixedJitter
+from .retry_scheduler import RetryScheduler
+from .terms import Adviser, Coming, RetryAdviceConfig, Way
 
-__all__ = ["Adviser", "AdviceTerms", "Appointments", "Coming", "Exponential", "FixedJitter", "Way", "adviser"]
+__all__ = [
+    "Adviser",
+    "RetryAdviceConfig",
+    "RetryScheduler",
+    "Coming",
+    "ExponentialBackoff",
+    "FixedJitter",
+    "Way",
+    "make_retry_adviser",
+]
 
 
-def adviser(terms: AdviceTerms, rng: Random) -> Adviser:
+def make_retry_adviser(terms: RetryAdviceConfig, rng: Random) -> Adviser:
     """The adviser of `terms.way`. `rng`: a stream of its own, another one in each proxy."""
     if terms.way == "appointments":
-        return Appointments(terms, rng)
+        return RetryScheduler(terms, rng)
     if terms.way == "exponential":
-        return Exponential(terms, rng)
+        return ExponentialBackoff(terms, rng)
     return FixedJitter(terms if terms.way == "fixed" else replace(terms, most_us=0), rng)
--- a/slatehub/decisions/advice/simple.py
+++ b/slatehub/decisions/advice/backoff.py
@@ -6,17 +6,17 @@
 from random import Random
 
 from .crowd import Alike
-from .terms import AdviceTerms, Coming
+from .terms import Coming, RetryAdviceConfig
 
 FIRST_US = 200_000  # span of the first refusal
 DOUBLINGS = 10
-KEYS = 4_096  # counted at once: those refused in 4 s at 1,000 refusals a second
+MAX_KEYS = 4_096  # counted at once: those refused in 4 s at 1,000 refusals a second
 
 
 class FixedJitter:
     """Evenly between the shortest and the longest advice, for everybody."""
 
-    def __init__(self, terms: AdviceTerms, rng: Random) -> None:
+    def __init__(self, terms: RetryAdviceConfig, rng: Random) -> None:
         self.most = terms.most_us
         self.least = min(terms.least_us, self.most)
         self.rng = rng
@@ -31,34 +31,34 @@
         """By chance, up to `span`."""
         return self.least + int(self.rng.random() * max(0, min(span, self.most) - self.least))
 
-    def drained(self, now: int, served: int) -> None:
+    def served(self, now: int, served: int) -> None:
         return None
 
-    def backlog(self, now: int, waiting: int, slots: float) -> None:
+    def update_backlog(self, now: int, waiting: int, slots: float) -> None:
         return None
 
-    def reserve(self, now: int) -> int:
+    def reserved_slots(self, now: int) -> int:
         return 0
 
 
-class Exponential(FixedJitter):
+class ExponentialBackoff(FixedJitter):
     """By chance within a span that doubles with each refusal of a key (full jitter: M. Brooker, Exponential
     Backoff And Jitter, AWS Architecture Blog 2015). A key that is forgotten, because it was not refused for
     two of the longest advices or because too many were, starts anew. Keys that many orders share are not
     counted."""
 
-    def __init__(self, terms: AdviceTerms, rng: Random) -> None:
+    def __init__(self, terms: RetryAdviceConfig, rng: Random) -> None:
         super().__init__(terms, rng)
-        self.alike = Alike()
+        self.shared_keys = Alike()
         self.counts: dict[int, tuple[int, int]] = {}  # key -> (refusals, the last), by the last
 
     def arrived(self, now: int, key: int) -> Coming:
-        self.alike.arrived(now, key, calm=key not in self.counts)
+        self.shared_keys.arrived(now, key, calm=key not in self.counts)
         return "newcomer"
 
     def refused(self, now: int, key: int) -> int:
-        self.alike.refused(key)
-        before = 0 if self.alike.shared(key) else self._counted(now, key)
+        self.shared_keys.refused(key)
+        before = 0 if self.shared_keys.shared(key) else self._counted(now, key)
         return self.within(FIRST_US << min(before, DOUBLINGS))
 
     def _counted(self, now: int, key: int) -> int:
@@ -74,7 +74,7 @@
         call."""
         stale: list[int] = []
         for key, (_, last) in self.counts.items():
-            if len(stale) == 2 or (now - last <= 2 * self.most and len(self.counts) - len(stale) < KEYS):
+            if len(stale) == 2 or (now - last <= 2 * self.most and len(self.counts) - len(stale) < MAX_KEYS):
                 break
             stale.append(key)
         return stale
--- a/slatehub/decisions/advice/crowd.py
+++ b/slatehub/decisions/advice/crowd.py
@@ -54,7 +54,7 @@
         self.last: int | None = None
         self.refused_at = -PRESSED_US
 
-    def turn(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Time has passed."""
         if self.last is None:
             self.last = now
@@ -76,34 +76,34 @@
         return self.refusals.count <= CALM * self.arrivals.count
 
     def came(self, now: int, new: bool) -> None:
-        self.turn(now)
+        self.advance(now)
         self.arrivals.count += 1
         if new and self.calm():
             self.usual.count += 1
 
     def refused(self, now: int) -> None:
-        self.turn(now)
+        self.advance(now)
         self.refusals.count += 1
         self.refused_at = now
 
     def served(self, now: int, jobs: int) -> None:
-        self.turn(now)
+        self.advance(now)
         self.all.count += jobs
         self.pressed.count += jobs * self.weight
 
     def held(self, now: int, waiting: int) -> None:
-        self.turn(now)
+        self.advance(now)
         self.waiting = waiting
 
-    def drain(self) -> float:
+    def service_rate(self) -> float:
         """Jobs a second that can be served now."""
         return max(self.pressed.per_s(), self.all.per_s())
 
-    def sure(self) -> bool:
+    def is_reliable(self) -> bool:
         """Whether the drain rate comes from times of pressure, for the most part."""
         return self.pressure.per_s() >= 0.5
 
-    def newcomers(self) -> float | None:
+    def baseline_arrival_rate(self) -> float | None:
         """Newcomers a second on a usual day; None: no such time has been seen."""
         return self.usual.per_s() if self.usual.span >= 0.5 else None
 
--- a/slatehub/decisions/advice/diary.py
+++ b/slatehub/decisions/advice/reservations.py
@@ -10,11 +10,11 @@
 from collections import deque
 from operator import attrgetter
 
-from .terms import AdviceTerms
+from .terms import RetryAdviceConfig
 
-MOST = 65_536  # appointments that are held at once
-LINGER_US = 1_000_000  # who missed an appointment is known as late for so long
-MISSED = 1_024  # of them, at once
+MAX_RESERVATIONS = 65_536  # appointments that are held at once
+MISSED_RETENTION_US = 1_000_000  # who missed an appointment is known as late for so long
+MAX_MISSED = 1_024  # of them, at once
 
 
 class Appointment:
@@ -31,18 +31,18 @@
     """`phase`: microseconds by which the slots of this proxy are shifted. Slots are numbered from the clock's
     zero."""
 
-    def __init__(self, terms: AdviceTerms, phase: int) -> None:
+    def __init__(self, terms: RetryAdviceConfig, phase: int) -> None:
         self.terms = terms
         self.phase = phase
         self.ring: list[list[Appointment]] = [[] for _ in range(terms.most_us // terms.slot_us + 2)]
-        self.next: int | None = None  # the first slot that has not begun
+        self.next_slot: int | None = None  # the first slot that has not begun
         self.coming: deque[Appointment] = deque()
         self.due: deque[Appointment] = deque()
         self.overdue: deque[Appointment] = deque()
-        self.held = 0  # appointments in the ring and in the queues
+        self.count = 0  # appointments in the ring and in the queues
         self.due_count = 0  # of those due, the ones not kept yet
-        self.ahead: dict[int, Appointment] = {}  # by key, the last one given that is still to come
-        self.now: dict[int, list[Appointment]] = {}  # by key, those that can be kept now, by their times
+        self.upcoming: dict[int, Appointment] = {}  # by key, the last one given that is still to come
+        self.active: dict[int, list[Appointment]] = {}  # by key, those that can be kept now, by their times
         self.missed: dict[int, int] = {}  # key -> time of an appointment that nobody kept, by the time
         self.ended: list[bool] = []  # appointments that are over since `results`: kept or not
 
@@ -53,8 +53,8 @@
 
     def first(self, at: int) -> int:
         """The first slot that starts at `at` or later and has not begun."""
-        assert self.next is not None
-        return max(self.next, -((self.phase - at) // self.terms.slot_us))
+        assert self.next_slot is not None
+        return max(self.next_slot, -((self.phase - at) // self.terms.slot_us))
 
     def last(self, now: int) -> int:
         """The last slot that is over by the longest advice."""
@@ -69,12 +69,12 @@
         """Time has passed; to be called before anything else at this time."""
         terms = self.terms
         begun = (now + terms.early_us - self.phase) // terms.slot_us + 1
-        if self.next is None:
-            self.next = begun
-        if begun > self.next:
-            for slot in range(self.next, min(begun, self.next + len(self.ring))):
+        if self.next_slot is None:
+            self.next_slot = begun
+        if begun > self.next_slot:
+            for slot in range(self.next_slot, min(begun, self.next_slot + len(self.ring))):
                 self._begin(slot)
-            self.next = begun
+            self.next_slot = begun
         while self.coming and self.coming[0].at <= now + terms.early_us:
             self._fall_due(self.coming.popleft())
         while self.due and self.due[0].at < now - terms.early_us:
@@ -84,7 +84,7 @@
         while self.overdue and self.overdue[0].at < now - terms.late_us:
             self._forget(self.overdue.popleft())
         if self.missed:
-            self._clear_missed(now - terms.late_us - LINGER_US)
+            self._clear_missed(now - terms.late_us - MISSED_RETENTION_US)
 
     def _begin(self, slot: int) -> None:
         ones = self.ring[slot % len(self.ring)]
@@ -94,14 +94,14 @@
             self.ring[slot % len(self.ring)] = []
 
     def _fall_due(self, one: Appointment) -> None:
-        if self.ahead.get(one.key) is one:
-            del self.ahead[one.key]
-        self.now.setdefault(one.key, []).append(one)
+        if self.upcoming.get(one.key) is one:
+            del self.upcoming[one.key]
+        self.active.setdefault(one.key, []).append(one)
         self.due.append(one)
         self.due_count += 1
 
     def _forget(self, one: Appointment) -> None:
-        self.held -= 1
+        self.count -= 1
         self.ended.append(one.kept)
         if one.kept:
             return
@@ -112,7 +112,7 @@
     def _clear_missed(self, before: int) -> None:
         while self.missed:
             key = next(iter(self.missed))
-            if self.missed[key] >= before and len(self.missed) <= MISSED:
+            if self.missed[key] >= before and len(self.missed) <= MAX_MISSED:
                 return
             del self.missed[key]
 
@@ -121,13 +121,13 @@
     def give(self, key: int, slot: int, at: int) -> Appointment:
         one = Appointment(at, key)
         self.ring[slot % len(self.ring)].append(one)
-        self.ahead[key] = one
-        self.held += 1
+        self.upcoming[key] = one
+        self.count += 1
         return one
 
     def keep(self, key: int, now: int) -> bool:
         """Whether a caller with this key has an appointment now; it is over thereby."""
-        if key not in self.now:
+        if key not in self.active:
             return False
         one = self._take(key)
         one.kept = True
@@ -135,10 +135,10 @@
         return True
 
     def _take(self, key: int) -> Appointment:
-        ones = self.now[key]
+        ones = self.active[key]
         one = ones.pop(0)
         if not ones:
-            del self.now[key]
+            del self.active[key]
         return one
 
     def late(self, key: int) -> bool:
--- a/slatehub/decisions/advice/terms.py
+++ b/slatehub/decisions/advice/terms.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceTerms:
+class RetryAdviceConfig:
     """What callers may be told. Times in microseconds. ValueError, naming the field, outside of these ranges:
 
     way: which adviser. most_us: the longest advice, 0 to 60 s and never above what callers honour; 0: callers
@@ -61,11 +61,11 @@
     def refused(self, now: int, key: int) -> int:
         """The advice for a caller who is refused now: microseconds, at most most_us; 0: say nothing."""
 
-    def drained(self, now: int, served: int) -> None:
+    def served(self, now: int, served: int) -> None:
         """So many jobs have been served since this was last called."""
 
-    def backlog(self, now: int, waiting: int, slots: float) -> None:
+    def update_backlog(self, now: int, waiting: int, slots: float) -> None:
         """Jobs that are held and wait for a place, and the places there are at the nodes (0: no node)."""
 
-    def reserve(self, now: int) -> int:
+    def reserved_slots(self, now: int) -> int:
         """Places to keep free for appointments that fall due now."""
--- a/slatehub/decisions/drain.py
+++ b/slatehub/decisions/drain.py
@@ -11,34 +11,38 @@
 LET_GO_US = (
     1_500_000  # from the call until idle connections are closed: 0.5 s before no request may come any more
 )
-TAKEN_OVER_US = (
+HANDOVER_IDLE_GRACE_US = (
     600_000  # the same where another process has the door: callers at work have had an answer by then
 )
-NEWCOMER_US = 300_000  # for the first request on a connection made after that
+FIRST_REQUEST_GRACE_US = 300_000  # for the first request on a connection made after that
 
 
 class Drain:
-    """Off at first. `told`: when the call came that is in force; 0: none is. `let_go_us`: from then until connections
-    that rest are closed."""
+    """Off at first. `started_at`: when the call came that is in force; 0: none is. `let_go_us`: from then until
+    connections that rest are closed."""
 
-    __slots__ = ("let_go_us", "told")
+    __slots__ = ("let_go_us", "started_at")
 
     def __init__(self, let_go_us: int = LET_GO_US) -> None:
-        self.told = 0
+        self.started_at = 0
         self.let_go_us = let_go_us
 
     @property
-    def on(self) -> bool:
-        return self.told > 0
+    def active(self) -> bool:
+        return self.started_at > 0
 
-    def fail(self, now: int) -> None:
+    def start(self, now: int) -> None:
         """A second call while the first is in force gives nobody more time."""
-        self.told = self.told or max(1, now)
+        self.started_at = self.started_at or max(1, now)
 
-    def ok(self) -> None:
-        self.told = 0
+    def cancel(self) -> None:
+        self.started_at = 0
 
-    def lets_go(self, now: int, opened: int, fresh: bool) -> bool:
+    def should_close_idle(self, now: int, opened: int, fresh: bool) -> bool:
         """Whether a connection that rests is to be closed: `opened` when it was made, `fresh` while no request has come
         on it, which may then still be on its way."""
-        return self.on and now - self.told >= self.let_go_us and (not fresh or now - opened >= NEWCOMER_US)
+        return (
+            self.active
+            and now - self.started_at >= self.let_go_us
+            and (not fresh or now - opened >= FIRST_REQUEST_GRACE_US)
+        )
--- a/slatehub/decisions/fleet/load.py
+++ b/slatehub/decisions/fleet/load.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-PLAIN = (
+TOTAL_NAMES = (
     "arrivals",
     "sends",
     "further",
@@ -17,7 +17,7 @@
     "waiting",
     "served",
 )  # rates a second, and calls
-MOST = {  # of one proxy: beyond what one can do
+MAX_PER_PROXY = {  # of one proxy: beyond what one can do
     "arrivals": 20_000, "sends": 40_000, "further": 20_000, "refused": 20_000, "used": 50_000, "slots": 10_000,
     "waiting": 50_000, "served": 20_000,
 }  # fmt: skip
@@ -42,24 +42,24 @@
     """`classes`: for each class its arrivals and refusals a second. `members`: of how many proxies this is the sum."""
 
     members: int = 1
-    plain: tuple[float, ...] = (0.0,) * len(PLAIN)
+    totals: tuple[float, ...] = (0.0,) * len(TOTAL_NAMES)
     classes: tuple[tuple[float, float], ...] = ()
     nodes: Mapping[int, NodeLoad] = field(default_factory=dict)
 
     def __getattr__(self, name: str) -> float:
         try:
-            return self.plain[PLAIN.index(name)]
+            return self.totals[TOTAL_NAMES.index(name)]
         except ValueError:
             raise AttributeError(name) from None
 
     @property
-    def tries(self) -> float:
+    def retry_ratio(self) -> float:
         """Further attempts for each first one."""
         return self.further / max(1e-9, self.sends)
 
 
-def total(loads: Sequence[Load]) -> Load:
-    plain = tuple(sum(load.plain[i] for load in loads) for i in range(len(PLAIN)))
+def sum_loads(loads: Sequence[Load]) -> Load:
+    plain = tuple(sum(load.totals[i] for load in loads) for i in range(len(TOTAL_NAMES)))
     width = max((len(load.classes) for load in loads), default=0)
     classes = tuple(
         (sum(x.classes[c][0] for x in loads if c < len(x.classes)), sum(x.classes[c][1] for x in loads if c <
@@ -79,15 +79,17 @@
     return sum(load.classes[cls][which] for load in loads if cls < len(load.classes))
 
 
-def clamped(load: Load, members: int) -> Load:
+def clamp(load: Load, members: int) -> Load:
     """As much of it as so many proxies may say. Guards against one that tells of a million slots."""
     count = max(1, min(load.members, members))
-    plain = tuple(min(value, MOST[name] * count) for name, value in zip(PLAIN, load.plain, strict=True))
-    most = MOST["arrivals"] * count
+    plain = tuple(
+        min(value, MAX_PER_PROXY[name] * count) for name, value in zip(TOTAL_NAMES, load.totals, strict=True)
+    )
+    most = MAX_PER_PROXY["arrivals"] * count
     classes = tuple((min(a, most), min(r, most)) for a, r in load.classes[:CLASSES_MOST])
     nodes = {
         number: NodeLoad(
-            min(one.out, MOST["used"] * count),
+            min(one.out, MAX_PER_PROXY["used"] * count),
             min(one.users, count),
             min(one.failed, CALLS_MOST * count),
             min(one.served, CALLS_MOST * count),
@@ -97,10 +99,10 @@
     return Load(count, plain, classes, nodes)
 
 
-def worded(load: Load, nodes_most: int) -> tuple[list[int], list[int], list[tuple[int, int, int, int, int]]]:
+def encode(load: Load, nodes_most: int) -> tuple[list[int], list[int], list[tuple[int, int, int, int, int]]]:
     """As the wire has it: plain figures, classes, nodes. Of more nodes than fit, those that somebody has ejected go
     first, then those that carry most."""
-    plain = [_whole(value) for value in load.plain]
+    plain = [_whole(value) for value in load.totals]
     classes = [_whole(value) for pair in load.classes[:CLASSES_MOST] for value in pair]
     ranked = sorted(load.nodes.items(), key=lambda item: (-item[1].failed, -item[1].out, item[0]))[
         :nodes_most
@@ -109,21 +111,21 @@
     return plain, classes, nodes
 
 
-def read(
+def decode(
     members: int,
     plain: Sequence[int],
     classes: Sequence[int],
     nodes: Iterable[tuple[int, int, int, int, int]],
 ) -> Load | None:
     """What was worded; None where it is from a program that orders its figures in another way."""
-    if len(plain) < len(PLAIN) or len(classes) % 2:
+    if len(plain) < len(TOTAL_NAMES) or len(classes) % 2:
         return None
     pairs = tuple((classes[i] / UNIT, classes[i + 1] / UNIT) for i in range(0, len(classes), 2))
     found = {
         n: NodeLoad(out / UNIT, users / UNIT, failed / UNIT, served / UNIT)
         for n, out, users, failed, served in nodes
     }
-    return Load(members, tuple(value / UNIT for value in plain[: len(PLAIN)]), pairs, found)
+    return Load(members, tuple(value / UNIT for value in plain[: len(TOTAL_NAMES)]), pairs, found)
 
 
 def _whole(value: float) -> int:
--- a/slatehub/decisions/fleet/meter.py
+++ b/slatehub/decisions/fleet/meter.py
@@ -16,7 +16,7 @@
 FAILED = frozenset((Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.TIMEOUT))
 
 
-class Module(Protocol):
+class BalancerView(Protocol):
     @property
     def servers(self) -> Mapping[int, Any]: ...
     @property
@@ -33,7 +33,7 @@
     def expected(self, cls: int, /) -> float: ...
 
 
-class Meter:
+class LoadMeter:
     """`batch` sees each turn of the module; `read` gives the load."""
 
     def __init__(self, now: int) -> None:
@@ -80,7 +80,7 @@
         ends[served] += 1
         ends[not served] /= 2
 
-    def read(self, now: int, module: Module) -> Load:
+    def read(self, now: int, module: BalancerView) -> Load:
         """Rates over some seconds, and what is out now."""
         passed = max(1, now - self.at)
         self.at = now
@@ -112,7 +112,7 @@
         classes = tuple((rates[0], rates[1]) for rates in self.class_rates[: self.classes])
         return Load(1, plain, classes, self._nodes(module))
 
-    def _nodes(self, module: Module) -> dict[int, NodeLoad]:
+    def _nodes(self, module: BalancerView) -> dict[int, NodeLoad]:
         """Those that this proxy has had to do with: of ten thousand it tells of a few."""
         told = {}
         for number, (failed, served) in self.ends.items():
--- a/slatehub/decisions/fleet/views.py
+++ b/slatehub/decisions/fleet/policy.py
@@ -17,7 +17,7 @@
 
 from .load import Load
 
-STALE_US = 3_000_000  # sums that are older count for nothing
+MAX_SUM_AGE_US = 3_000_000  # sums that are older count for nothing
 COVER = 2 / 3  # of the members that are alive must be in them
 MOST_TIMES, LEAST_TIMES = 32.0, 0.5  # a part is within this of an even one
 FEW = 2.0  # arrivals a second of each, on average, below which needs tell nothing
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
+class LocalEstimate:
     """What a proxy takes for true by itself: nodes that it may send to, and the microseconds of one that a call takes
     (0: not known yet); of each class its worth for the work."""
 
@@ -58,45 +58,45 @@
     values: tuple[float, ...] = ()
 
 
-NOBODY = Alone()
+NO_ESTIMATE = LocalEstimate()
 
 
-class Views:
+class FleetPolicy:
     """One proxy's. `name`: its own in the fleet."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.barred: dict[int, Barred] = {}
+        self.avoided_nodes: dict[int, Barred] = {}
         self.began = self.looked = 0
         self.slow, self.usual = 0.0, 0.0  # arrivals a second, ours and of each on average, over SLOW_US
         self.best, self.best_at = 0.0, 0  # calls a second that a node served at the most, on average of all
         self.nodes = 0.0  # that served of late
-        self.trim, self.trimmed_at = 1.0, 0
+        self.share_correction, self.trimmed_at = 1.0, 0
         self.short = False  # all together
         self.spent = False  # the fleet has made as many further attempts as it may
 
-    def look(
+    def evaluate(
         self,
         now: int,
         own: Load,
         fleet: Load | None,
         age_us: int,
         alive: Iterable[str],
-        alone: Alone = NOBODY,
+        alone: LocalEstimate = NO_ESTIMATE,
     ) -> Peers:
         """`fleet`: the sum of all as last told, `age_us` old; `alive`: the other members'; `alone`: what this proxy
         would go by without them. An event for the module; one that says nothing (`Peers()`) where there is nothing to
         go by."""
         names = sorted({self.name, *alive})
-        if fleet is None or age_us > STALE_US or fleet.members < COVER * len(names) or len(names) < 2:
-            self.barred.clear()
+        if fleet is None or age_us > MAX_SUM_AGE_US or fleet.members < COVER * len(names) or len(names) < 2:
+            self.avoided_nodes.clear()
             self.spent = self.short = False
-            self.trim = 1.0  # what was right before a cut need not be after it
+            self.share_correction = 1.0  # what was right before a cut need not be after it
             return Peers()
         if self.spent:
-            self.spent = fleet.tries > TRIES_AGAIN
+            self.spent = fleet.retry_ratio > TRIES_AGAIN
         else:
-            self.spent = fleet.tries > TRIES and fleet.further > 1
+            self.spent = fleet.retry_ratio > TRIES and fleet.further > 1
         part = self._part(now, own, fleet, len(names))
         idle = max(0.0, min(1.0, 1 - fleet.used / fleet.slots)) if fleet.slots > 0 else 0.0
         barred, work = self._bar(now, fleet, names), self._work(now, fleet, alone)
@@ -104,7 +104,7 @@
             len(names), part, round(idle, 2), not self.spent, barred, self._worth(fleet, alone), work
         )
 
-    def _worth(self, fleet: Load, alone: Alone) -> float:
+    def _worth(self, fleet: Load, alone: LocalEstimate) -> float:
         """While all together are short, the mean worth for its work of what is asked of all: the same line at each
         proxy, whatever it is asked itself, and whether or not its own room is short. 0: they are not short."""
         self.short = fleet.used > (SHORT_UNTIL if self.short else SHORT) * fleet.slots
@@ -112,7 +112,7 @@
         asked = sum(rate for rate, _ in rated)
         return sum(rate * value for rate, value in rated) / asked if self.short and asked else 0.0
 
-    def _work(self, now: int, fleet: Load, alone: Alone) -> float:
+    def _work(self, now: int, fleet: Load, alone: LocalEstimate) -> float:
         """Microseconds of a node that a call takes: a node that is never idle serves one in just so long, and one that
         is idle at times fewer, so that the most that was served errs high. What one proxy among many sees is mostly
         the wait behind calls of the others, and a cold node was given half of its budget for it."""
@@ -140,18 +140,19 @@
         more, so that a small proxy's bound is wider for its need than a large one's."""
         passed, self.trimmed_at = min(LOOK_MOST_US, now - self.trimmed_at), now
         if fleet.refused < 1:
-            self.trim += (1 - self.trim) * passed / FORGET_US
-            return self.trim
+            self.share_correction += (1 - self.share_correction) * passed / FORGET_US
+            return self.share_correction
         gap = own.refused / max(1e-9, own.arrivals) - fleet.refused / max(1e-9, fleet.arrivals)
         sure = own.arrivals / (own.arrivals + DOUBT / 3)
-        self.trim = max(
-            1 / TRIM, min(TRIM, self.trim * exp(GAIN * sure * max(-1.0, min(1.0, gap)) * passed / 1e6))
+        self.share_correction = max(
+            1 / TRIM,
+            min(TRIM, self.share_correction * exp(GAIN * sure * max(-1.0, min(1.0, gap)) * passed / 1e6)),
         )
-        return self.trim
+        return self.share_correction
 
     def _slowly(self, now: int, own: float, mean: float) -> float:
         """Our arrivals as a multiple of the mean, over a longer time, and the nearer to 1 the fewer they were."""
-        if now - self.looked > 2 * STALE_US:
+        if now - self.looked > 2 * MAX_SUM_AGE_US:
             self.began, self.slow, self.usual = now, own, mean
         span = min(SLOW_US, max(1, now - self.began))
         keep = exp((self.looked - now) / span) if self.looked else 0.0
@@ -164,26 +165,26 @@
         failed = sum(node.failed for node in fleet.nodes.values())
         ended = failed + sum(node.served for node in fleet.nodes.values())
         for number, node in fleet.nodes.items():
-            held, here = self.barred.get(number), node.failed + node.served
+            held, here = self.avoided_nodes.get(number), node.failed + node.served
             if held and node.served > node.failed:
-                del self.barred[number]  # whose turn it is has been served
+                del self.avoided_nodes[number]  # whose turn it is has been served
             elif held and node.failed:
                 held.heard = now
             elif node.failed >= FAILED_LEAST and node.failed > FAILED_PART * here:
                 usual = (failed - node.failed) / max(1.0, ended - here)
                 if node.failed > 2 * usual * here:  # never where all are bad alike
-                    self.barred[number] = Barred(now, now)
-        for number in [n for n, held in self.barred.items() if now - held.heard > BARRED_MOST_US]:
-            del self.barred[number]
-        return frozenset(n for n in self.barred if self.name not in triers(n, names))
+                    self.avoided_nodes[number] = Barred(now, now)
+        for number in [n for n, held in self.avoided_nodes.items() if now - held.heard > BARRED_MOST_US]:
+            del self.avoided_nodes[number]
+        return frozenset(n for n in self.avoided_nodes if self.name not in probing_proxies(n, names))
 
-    def restarted(self, since: Mapping[int, int]) -> None:
+    def nodes_restarted(self, since: Mapping[int, int]) -> None:
         """When nodes last started, as this proxy knows: one that has started since it failed is another one."""
-        for number in [n for n, held in self.barred.items() if since.get(n, 0) > held.since]:
-            del self.barred[number]
+        for number in [n for n, held in self.avoided_nodes.items() if since.get(n, 0) > held.since]:
+            del self.avoided_nodes[number]
 
 
-def triers(node: int, names: Collection[str]) -> list[str]:
+def probing_proxies(node: int, names: Collection[str]) -> list[str]:
     """Who try this node for all: by rendezvous hash, so that a member more or less moves only what was its own."""
     count = 1 + len(names) // TRIED_BY
     return nlargest(
--- a/slatehub/decisions/ledger.py
+++ b/slatehub/decisions/idempotency.py
@@ -13,24 +13,24 @@
 
 import msgspec
 
-OPEN, NEVER, DONE = range(3)
+STATE_SENT, STATE_NEVER_RAN, STATE_COMPLETED = range(3)
 BODY_MOST = 480  # bytes of an answer that are kept
 WORD_MOST = 64  # characters of a name or type
 FORMAT = 1
 
 
-class Finding(Enum):
+class ClaimResult(Enum):
     """What a claim came upon."""
 
     MINE = "mine"  # it may be sent
-    SAME = "same"  # it has run, and its answer is known
-    RAN = "ran"  # it has run, its answer was too long to be kept
+    REPLAYABLE = "same"  # it has run, and its answer is known
+    COMPLETED_WITHOUT_BODY = "ran"  # it has run, its answer was too long to be kept
     DOUBT = "doubt"  # it was sent, nobody knows how it ended
-    OTHER = "other"  # the same key for another order
+    KEY_REUSED = "other"  # the same key for another order
     UNREADABLE = "unreadable"  # written by a later version
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class IdempotencyRecord(msgspec.Struct, array_like=True, frozen=True):
     """`token`: of the job that claimed it; `mark`: of what was asked for; `at_ms`: when the attempt was let out, or had
     ended. A field is only ever added at the end, with a default."""
 
@@ -49,89 +49,91 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Entry)
+_decoder = msgspec.msgpack.Decoder(IdempotencyRecord)
 
 
-def register(tenant: str, key: str) -> bytes:
+def register_key(tenant: str, key: str) -> bytes:
     """The register of this key: one tenant's keys are nothing to another."""
     return blake2b(f"{tenant}\0{key}".encode(), digest_size=16).digest()
 
 
-def read(value: bytes) -> Entry | None:
+def decode_idempotency_record(value: bytes) -> IdempotencyRecord | None:
     """None where it is of a form that we do not know."""
     try:
         entry = _decoder.decode(value)
     except (msgspec.DecodeError, RecursionError):
         return None
-    return entry if entry.format == FORMAT and OPEN <= entry.state <= DONE else None
+    return entry if entry.format == FORMAT and STATE_SENT <= entry.state <= STATE_COMPLETED else None
 
 
 @dataclass(slots=True)
-class Claim:
+class ClaimIntent:
     """Before an attempt: its intent is written, unless what stands there forbids it."""
 
-    entry: Entry
-    finding: Finding = Finding.MINE
-    found: Entry | None = None
+    entry: IdempotencyRecord
+    result: ClaimResult = ClaimResult.MINE
+    existing: IdempotencyRecord | None = None
 
     def __call__(self, value: bytes) -> bytes | None:
-        self.found = read(value) if value else None
-        self.finding = self._finding(value)
-        return _encoder.encode(self.entry) if self.finding is Finding.MINE else None
+        self.existing = decode_idempotency_record(value) if value else None
+        self.result = self._finding(value)
+        return _encoder.encode(self.entry) if self.result is ClaimResult.MINE else None
 
-    def _finding(self, value: bytes) -> Finding:
-        found, mine = self.found, self.entry
+    def _finding(self, value: bytes) -> ClaimResult:
+        found, mine = self.existing, self.entry
         if not value:
-            return Finding.MINE
+            return ClaimResult.MINE
         if found is None:
-            return Finding.UNREADABLE
+            return ClaimResult.UNREADABLE
         if found.mark != mine.mark:
-            return Finding.OTHER
-        if found.state == NEVER or found.token == mine.token:
+            return ClaimResult.KEY_REUSED
+        if found.state == STATE_NEVER_RAN or found.token == mine.token:
             return (
-                Finding.MINE
+                ClaimResult.MINE
             )  # ours: an earlier attempt that never ran, or this one, written but not yet decided
-        return told(found)
+        return result_for_repeat(found)
 
 
-def told(entry: Entry) -> Finding:
+def result_for_repeat(entry: IdempotencyRecord) -> ClaimResult:
     """What a repeat is told of an order that was let out."""
-    if entry.state == DONE:
-        return Finding.RAN if entry.body is None else Finding.SAME
-    return Finding.DOUBT if entry.state == OPEN else Finding.MINE
+    if entry.state == STATE_COMPLETED:
+        return ClaimResult.COMPLETED_WITHOUT_BODY if entry.body is None else ClaimResult.REPLAYABLE
+    return ClaimResult.DOUBT if entry.state == STATE_SENT else ClaimResult.MINE
 
 
 @dataclass(slots=True)
-class Ended:
+class WriteOutcome:
     """After an attempt. Only the job that let it out says so; where another has taken the register up since, nothing is
     changed."""
 
-    entry: Entry
+    entry: IdempotencyRecord
 
     def __call__(self, value: bytes) -> bytes | None:
-        found = read(value) if value else None
-        mine = found is not None and found.token == self.entry.token and found.state != DONE
+        found = decode_idempotency_record(value) if value else None
+        mine = found is not None and found.token == self.entry.token and found.state != STATE_COMPLETED
         return _encoder.encode(self.entry) if mine and found and found.attempt <= self.entry.attempt else None
 
 
-def never(entry: Entry, at_ms: int) -> Entry:
+def never_ran_record(entry: IdempotencyRecord, at_ms: int) -> IdempotencyRecord:
     """Proven: it has not run and will not."""
-    return msgspec.structs.replace(entry, state=NEVER, at_ms=at_ms)
+    return msgspec.structs.replace(entry, state=STATE_NEVER_RAN, at_ms=at_ms)
 
 
-def done(entry: Entry, at_ms: int, kind: str, body: bytes | None) -> Entry:
+def completed_record(
+    entry: IdempotencyRecord, at_ms: int, kind: str, body: bytes | None
+) -> IdempotencyRecord:
     """`body`: the node's answer, None where it was not whole or is too long."""
     kept = body if body is not None and len(body) <= BODY_MOST and len(kind) <= WORD_MOST else None
     return msgspec.structs.replace(
-        entry, state=DONE, at_ms=at_ms, kind=kind if kept is not None else "", body=kept
+        entry, state=STATE_COMPLETED, at_ms=at_ms, kind=kind if kept is not None else "", body=kept
     )
 
 
-def intent(
+def intent_record(
     token: int, mark: int, request: str, cls: str, tenant: str, node: str, attempt: int, at_ms: int
-) -> Entry:
-    return Entry(
-        FORMAT, OPEN, token, mark, _cut(request), _cut(cls), _cut(tenant), _cut(node), attempt, at_ms
+) -> IdempotencyRecord:
+    return IdempotencyRecord(
+        FORMAT, STATE_SENT, token, mark, _cut(request), _cut(cls), _cut(tenant), _cut(node), attempt, at_ms
     )
 
 
--- a/slatehub/decisions/outs.py
+++ b/slatehub/decisions/maintenance_registers.py
@@ -8,37 +8,37 @@
 
 import msgspec
 
-BUCKETS = 16  # registers: a value is short, and so holds some ids only
+REGISTER_COUNT = 16  # registers: a value is short, and so holds some ids only
 MOST = 700  # bytes of a value
 BACK_MS = 600_000  # a return is remembered for so long: a node that came back is cold for a while
 FORMAT = 1
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
-    """`turn` grows with each change: who knows a higher one has newer news. Times in milliseconds from the epoch."""
+class NodesInMaintenance(msgspec.Struct, array_like=True, frozen=True):
+    """`version` grows with each change: who knows a higher one has newer news. Times in milliseconds from the epoch."""
 
     format: int = FORMAT
-    turn: int = 0
-    out: dict[str, int] = {}
-    back: dict[str, int] = {}
+    version: int = 0
+    started_at: dict[str, int] = {}
+    ended_at: dict[str, int] = {}
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Held)
+_decoder = msgspec.msgpack.Decoder(NodesInMaintenance)
 
 
-def bucket(ident: str) -> int:
-    return blake2b(ident.encode(), digest_size=1).digest()[0] % BUCKETS
+def register_number(ident: str) -> int:
+    return blake2b(ident.encode(), digest_size=1).digest()[0] % REGISTER_COUNT
 
 
-def register(number: int) -> bytes:
+def register_key(number: int) -> bytes:
     return blake2b(b"nodes out by hand %d" % number, digest_size=16).digest()
 
 
-def read(value: bytes) -> Held | None:
+def decode_value(value: bytes) -> NodesInMaintenance | None:
     """None where it is of a form that we do not know."""
     if not value:
-        return Held()
+        return NodesInMaintenance()
     try:
         held = _decoder.decode(value)
     except (msgspec.DecodeError, RecursionError):
@@ -47,38 +47,41 @@
 
 
 @dataclass(slots=True)
-class Call:
-    """An operator's call. `why`: it cannot be done."""
+class SetNodeMaintenance:
+    """An operator's call. `error`: it cannot be done."""
 
     ident: str
     out: bool
     at_ms: int
-    why: str = ""
+    error: str = ""
 
     def __call__(self, value: bytes) -> bytes | None:
-        held = read(value)
+        held = decode_value(value)
         if held is None:
-            self.why = "what stands there was written by a later version"
+            self.error = "what stands there was written by a later version"
             return None
-        if (self.ident in held.out) == self.out:
+        if (self.ident in held.started_at) == self.out:
             return _encoder.encode(held)  # a set, no counter; written again, as it need not have been decided
-        out, back = dict(held.out), {k: at for k, at in held.back.items() if self.at_ms - at < BACK_MS}
+        out, back = (
+            dict(held.started_at),
+            {k: at for k, at in held.ended_at.items() if self.at_ms - at < BACK_MS},
+        )
         if self.out:
             out[self.ident] = self.at_ms
             back.pop(self.ident, None)
         else:
             del out[self.ident]
             back[self.ident] = self.at_ms
-        wanted = _encoder.encode(Held(FORMAT, held.turn + 1, out, back))
+        wanted = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, out, back))
         while len(wanted) > MOST and back:
             del back[min(back, key=lambda k: back[k])]
-            wanted = _encoder.encode(Held(FORMAT, held.turn + 1, out, back))
+            wanted = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, out, back))
         if len(wanted) > MOST:
-            self.why = "no room for another node out"
+            self.error = "no room for another node out"
             return None
         return wanted
 
 
-def same(value: bytes) -> bytes | None:
+def rewrite_unchanged(value: bytes) -> bytes | None:
     """A read that is sure: what was found is decided by being written again."""
     return value or None
--- a/slatehub/decisions/pacing.py
+++ b/slatehub/decisions/pacing.py
@@ -1,5 +1,5 @@
-"""How fast connections are made: `Door` for callers who come in, `NodePace` for our own to nodes. This file
-owns the counts that this takes. It must never read a clock, touch a socket or keep a queue: who has to wait,
+"""How fast connections are made: `AcceptLimiter` for callers who come in, `ConnectLimiter` for our own to nodes. This
+file owns the counts that this takes. It must never read a clock, touch a socket or keep a queue: who has to wait,
 and in what order, is the caller's."""
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000
 TOKEN = SECOND  # in millionths: a rate per second is then whole millionths a microsecond, and nothing rounds
-NODES = 512  # gates at once, some 300 KB; of more nodes, those not used for longest begin anew
+MAX_TRACKED_NODES = 512  # gates at once, some 300 KB; of more nodes, those not used for longest begin anew
 LOOK_US = 1_000  # the shortest between two asks at a full gate
 
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoorTerms:
+class AcceptLimiterConfig:
     """ValueError where a value is out of its bounds.
 
     per_s       connections let in a second, 1 to 1,000,000; half of them while more than `busy` jobs are in
@@ -38,12 +38,12 @@
             raise ValueError(f"out of bounds: {self}")
 
 
-class Door:
+class AcceptLimiter:
     """How many new connections may be taken in now, so that those inside are answered: a token bucket (RFC
     3290, appendix A), exact in whole numbers. Over any time t it lets in at most rate x t + burst, a step of
     the clock included; the rate is per_s, or one per slowest_us if that is more. O(1)."""
 
-    def __init__(self, terms: DoorTerms) -> None:
+    def __init__(self, terms: AcceptLimiterConfig) -> None:
         self.terms = terms
         least = -(-SECOND // terms.slowest_us)
         self._speeds = max(terms.per_s, least), max(terms.per_s // 2, least)
@@ -51,7 +51,7 @@
         self._full = self._level = terms.burst * TOKEN
         self._at = 0
 
-    def take(self, now: int, inside_busy: int, want: int = 1) -> int:
+    def acquire(self, now: int, inside_busy: int, want: int = 1) -> int:
         """How many of the `want` at the door may come in now, 0 or more; they count as in. `inside_busy`:
         jobs in hand."""
         self._speed = self._speeds[inside_busy > self.terms.busy]
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PaceTerms:
+class ConnectLimiterConfig:
     """ValueError where a value is out of its bounds.
 
     first      handshakes at once with a node not met before, 1 to most
@@ -107,18 +107,18 @@
         self.took = 0  # how long a handshake usually takes
 
 
-class NodePace:
+class ConnectLimiter:
     """At most a window of handshakes at once with each node, so that one that comes back is not met by all
     callers' calls, of all proxies, in the same moment. The window doubles after as many successes and halves
     at each failure, as TCP's in its slow start (RFC 5681, section 3.1). O(1); at most `most` marks a node."""
 
-    def __init__(self, terms: PaceTerms, rng: Random) -> None:
+    def __init__(self, terms: ConnectLimiterConfig, rng: Random) -> None:
         self.terms = terms
         self.rng = rng
         self._gates: OrderedDict[int, _Gate] = OrderedDict()  # the one not used for longest first
 
-    def ask(self, now: int, endpoint: int) -> int:
-        """0: begin a handshake now, and say by `opened` how it ended; else microseconds, 1 or more, until it
+    def acquire(self, now: int, endpoint: int) -> int:
+        """0: begin a handshake now, and say by `release` how it ended; else microseconds, 1 or more, until it
         is worth asking again: at a full window, as long as a handshake usually takes."""
         gate = self._gate(endpoint)
         self._lose(now, gate)
@@ -130,8 +130,8 @@
         gate.returning = False
         return 0
 
-    def opened(self, now: int, endpoint: int, ok: bool, asked: int) -> None:
-        """How the handshake ended for which `ask` said 0 at `asked`. One given up for lost changes
+    def release(self, now: int, endpoint: int, ok: bool, asked: int) -> None:
+        """How the handshake ended for which `acquire` said 0 at `asked`. One given up for lost changes
         nothing."""
         gate = self._gates.get(endpoint)
         if gate is None or asked not in gate.out:
@@ -146,7 +146,7 @@
         if gate.good >= gate.window:
             gate.window, gate.good = min(2 * gate.window, self.terms.most), 0
 
-    def back(self, now: int, endpoint: int) -> None:
+    def node_returned(self, now: int, endpoint: int) -> None:
         """It has started, or come back. Said again before a handshake has begun it changes nothing: a node
         that is announced over and over must not be put off for ever."""
         gate = self._gate(endpoint)
@@ -154,7 +154,7 @@
             gate.window, gate.good, gate.returning, gate.since = self.terms.again, 0, True, now
             gate.hold = now + self.rng.randint(0, self.terms.spread_us)
 
-    def gone(self, endpoint: int) -> None:
+    def node_removed(self, endpoint: int) -> None:
         """Off the list: nothing of it is kept."""
         self._gates.pop(endpoint, None)
 
@@ -162,7 +162,7 @@
         if gate := self._gates.get(endpoint):
             self._gates.move_to_end(endpoint)
             return gate
-        if len(self._gates) >= NODES:
+        if len(self._gates) >= MAX_TRACKED_NODES:
             self._gates.popitem(last=False)
         gate = self._gates[endpoint] = _Gate(self.terms.first)
         return gate
--- a/slatehub/decisions/stop.py
+++ b/slatehub/decisions/shutdown.py
@@ -11,44 +11,44 @@
 
 from copy import copy
 
-MOST_US = 3_000_000  # the longest deadline counts as no longer
+MAX_DEADLINE_US = 3_000_000  # the longest deadline counts as no longer
 MORE_US = 700_000
 MARGIN_US = 150_000  # before SIGKILL, for the last answers and the end of the process
 PART_US = 800_000  # before the last answer, where siblings may take the callers over: some services' length
 BACK_US = 1_000_000  # from SIGKILL until the next start, where nobody has said
 
 
-class PlannedStop:
+class ShutdownSchedule:
     """`told`: when the process was told to end. `longest_us`: the longest deadline of a class. `siblings`: proxies that
     callers could go to, this one included. `served_us`: how long a request usually takes (0: not known)."""
 
-    __slots__ = ("answer_by", "back_at", "part_at", "told")
+    __slots__ = ("answer_by", "back_at", "disconnect_at", "told")
 
     def __init__(self, told: int, longest_us: int, siblings: int = 1, served_us: float = 0) -> None:
-        kill_at = told + min(longest_us, MOST_US) + MORE_US
+        kill_at = told + min(longest_us, MAX_DEADLINE_US) + MORE_US
         self.told = told
         self.answer_by = max(told, kill_at - MARGIN_US)
         self.back_at = kill_at + BACK_US
         # Siblings may be stopping too, and share nothing with us: callers are kept for as long as it does them good.
         part_us = min(PART_US, max(PART_US / 4, 1.5 * served_us)) if siblings > 1 else 0
-        self.part_at = max(told, int(self.answer_by - part_us))
+        self.disconnect_at = max(told, int(self.answer_by - part_us))
 
-    def shifted(self, by: int) -> PlannedStop:
+    def shifted(self, by: int) -> ShutdownSchedule:
         """The same on a clock that is so far ahead of this one."""
         other = copy(self)
         for name in self.__slots__:
             setattr(other, name, getattr(self, name) + by)
         return other
 
-    def limit(self, deadline: int) -> int:
+    def clamp_deadline(self, deadline: int) -> int:
         """Until when a request with this deadline is to be answered."""
         return min(deadline, self.answer_by)
 
-    def parting(self, now: int) -> bool:
+    def disconnecting(self, now: int) -> bool:
         """Whether callers should go: those that rest are closed, answers end their connection, no new ones come in."""
-        return now >= self.part_at
+        return now >= self.disconnect_at
 
-    def over(self, now: int) -> bool:
+    def finished(self, now: int) -> bool:
         """Whether every answer has been given."""
         return now >= self.answer_by
 
--- a/slatehub/decisions/storm.py
+++ b/slatehub/decisions/storm.py
@@ -33,14 +33,18 @@
 from math import exp, sqrt
 from typing import Literal
 
-TICK = 100_000  # microseconds between two looks; the phases need no finer, and an idle proxy is not woken
-PAUSE = 10 * TICK  # longer without a look is a step of the clock or a sleep: nothing has been sustained
+EVALUATION_INTERVAL_US = (
+    100_000  # microseconds between two looks; the phases need no finer, and an idle proxy is not woken
+)
+PAUSE = (
+    10 * EVALUATION_INTERVAL_US
+)  # longer without a look is a step of the clock or a sleep: nothing has been sustained
 SETS, WAYS = 1024, 4  # 4,096 keys, 86 KB: at 1,000 new ones a second each is known for about 4 s
 STALE = 60_000_000  # a key not seen for a minute is new again
 TRIES = 6  # a key back more often than this in a row is not one caller's: callers here retry twice
 COMMON = 255  # in the place of the tries: more than one order has this key
 MOST_TENANTS = 256  # told apart; each costs half a microsecond a look
-MOST_NODES = 256  # reports kept
+MAX_NODES = 256  # reports kept
 NODE_STALE = 5_000_000  # how long a report counts: nodes report with each answer
 SLOW = 0.25  # pace of learning the usual outside CALM: an outage is not usual, yet nothing is stuck for good
 FRESH, REPEATS, SERVED, REFUSED, CONNECTS, ALIKE, FIXED = range(7)  # places of counts; then those by tenant
@@ -56,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StormTerms:
+class StormDetectorConfig:
     """When to call what a storm. Times in microseconds; shares 0..1, `_quiet` < `_off` < `_on` < `_hard`."""
 
     least_us: int = 500_000  # 100 ms..60 s: a phase lasts at least this long
@@ -85,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class StormMetrics:
     """As of the last look. Rates are per second over the window and at least 0, shares 0..1."""
 
     arrivals_per_s: float = 0.0
@@ -105,7 +109,7 @@
 class Changed:
     phase: Phase
     before: Phase
-    figures: Figures
+    figures: StormMetrics
     text: str  # one line for the log
 
 
@@ -192,7 +196,7 @@
     def report(self, now: int, endpoint: int, util: float) -> None:
         self.last.pop(endpoint, None)
         self.last[endpoint] = (now, min(1.0, max(0.0, util)))
-        if len(self.last) > MOST_NODES:
+        if len(self.last) > MAX_NODES:
             del self.last[next(iter(self.last))]
 
     def mean(self, now: int) -> float | None:
@@ -206,7 +210,7 @@
     phase. `tenants`: how many there are; any other index is nobody's. An event costs the same whatever came
     before it."""
 
-    def __init__(self, terms: StormTerms, tenants: int) -> None:
+    def __init__(self, terms: StormDetectorConfig, tenants: int) -> None:
         self.terms = terms
         self.phase = Phase.CALM
         self._tenants = min(max(0, tenants), MOST_TENANTS)
@@ -217,7 +221,7 @@
         self._usual = _Fading(size, terms.usual_us)
         self._keys = _Keys(terms.memory_us)
         self._nodes = _Nodes()
-        self._figures = Figures()
+        self._figures = StormMetrics()
         self._util: float | None = None
         self._first = self._latest = -1  # arrivals
         self._last = self._entered = -1  # look, change of phase
@@ -260,7 +264,7 @@
         self._keys.settle(now, key, -1)
         return True
 
-    def ended(self, now: int, key: int, verdict: Verdict) -> None:
+    def request_ended(self, now: int, key: int, verdict: Verdict) -> None:
         """The final answer of an order; "failed" too where its caller left without one: it will be back."""
         self._touch(now)
         if verdict == "served":
@@ -269,11 +273,11 @@
             self._new[REFUSED] += 1
             self._keys.settle(now, key & ((1 << 64) - 1), 1)
 
-    def connected(self, now: int) -> None:
+    def connection_opened(self, now: int) -> None:
         self._touch(now)
         self._new[CONNECTS] += 1
 
-    def report(self, now: int, endpoint: int, util: float) -> None:
+    def node_reported(self, now: int, endpoint: int, util: float) -> None:
         """How busy a node says it is, 0..1; what lies outside counts as the nearer end, NaN as 0."""
         self._nodes.report(now, endpoint, util)
 
@@ -287,13 +291,13 @@
     def due(self) -> int | None:
         """When `advance` has something to look at, if nothing else happens first."""
         if self._dirty or self.phase is not Phase.CALM or "sign" in self._since:
-            return self._last + TICK
+            return self._last + EVALUATION_INTERVAL_US
         return None
 
     def advance(self, now: int) -> Changed | None:
         """At most one change a call, never within least_us of the one before."""
         passed = now - self._last
-        if self._last < 0 or passed < TICK:
+        if self._last < 0 or passed < EVALUATION_INTERVAL_US:
             return None
         self._last = now
         if passed > PAUSE:
@@ -307,7 +311,7 @@
         phase = self._next(now)
         return None if phase is self.phase else self._enter(now, phase)
 
-    def figures(self) -> Figures:
+    def metrics(self) -> StormMetrics:
         return self._figures
 
     def _fold(self, now: int, passed: int) -> None:
@@ -351,7 +355,7 @@
         grown = self._known() and fresh - usual >= (need / 2 if self._figures.growth else need)
         share = _share(repeats, fresh)
         top = max(tenants, default=0.0) if self._flooding < 0 else tenants[self._flooding]
-        self._figures = Figures(
+        self._figures = StormMetrics(
             arrivals_per_s=fresh + repeats,
             repeats=share,
             distinct_per_s=fresh,
--- a/slatehub/discovery/numbers.py
+++ b/slatehub/discovery/endpoint_numbers.py
@@ -6,7 +6,7 @@
 import hashlib
 
 
-class Numbers:
+class EndpointNumbers:
     """The number of a node is a hash of its id: the same at every proxy, as the module deals the nodes out among its
     siblings in the order of these numbers, and for good, whatever address the node moves to. Two ids of one hash, which
     proxies may then number differently, get neighbours in the order in which they first came up. `idents` gets the id
@@ -16,7 +16,7 @@
         self.idents = idents
         self._numbers: dict[str, int] = {}
 
-    def of(self, ident: str) -> int:
+    def number_of(self, ident: str) -> int:
         if ident not in self._numbers:
             number = int.from_bytes(hashlib.blake2b(ident.encode(), digest_size=6).digest(), "big") or 1
             while number in self.idents:
--- a/slatehub/drivers/clock.py
+++ b/slatehub/drivers/clock.py
@@ -12,7 +12,7 @@
 
 
 # When the process began, as near as its processor time tells: until it serves it hardly does anything but work.
-BEGAN = time.monotonic_ns() // 1000 + _OFFSET - time.process_time_ns() // 1000
+PROCESS_STARTED_US = time.monotonic_ns() // 1000 + _OFFSET - time.process_time_ns() // 1000
 
 
 def clock() -> int:
@@ -24,7 +24,7 @@
 def _nothing() -> None: ...
 
 
-class Alarm:
+class Timer:
     """One wait's own timer. gevent counts a timer from the time its loop last looked at the clock, which may be
     long past, so a ring that comes too early waits again for what is left."""
 
@@ -47,7 +47,7 @@
             ring, self.ring = self.ring, _nothing
             ring()
 
-    def off(self) -> None:
+    def cancel(self) -> None:
         self.timer.stop()
         self.timer.close()
         self.ring = _nothing  # who was to be rung most often holds this alarm: a ring of references otherwise
--- a/slatehub/drivers/pipe.py
+++ b/slatehub/drivers/pipe.py
@@ -7,13 +7,13 @@
 
 from gevent.queue import Empty, Full, Queue
 
-STALL_S = 10.0  # for one piece: longer, and that side has gone
+STALL_TIMEOUT_S = 10.0  # for one piece: longer, and that side has gone
 
 
 def _nothing() -> None: ...
 
 
-class Gone(Exception):
+class ReaderClosed(Exception):
     """The other side takes no more."""
 
 
@@ -22,45 +22,45 @@
 
     def __init__(self, on_leave: Callable[[], None]) -> None:
         self.pieces: Queue[bytes | None] = Queue(1)
-        self.on_leave: Callable[[], None] | None = on_leave  # None: the reader has left
+        self.on_reader_closed: Callable[[], None] | None = on_leave  # None: the reader has left
         self.over = False
 
-    def put(self, piece: bytes | None) -> None:
-        """The next piece; b"": that was all; None: it breaks off here. Waits while the one before is still there. Gone
-        where nobody takes it."""
-        if self.on_leave is None:
-            raise Gone
+    def write_chunk(self, piece: bytes | None) -> None:
+        """The next piece; b"": that was all; None: it breaks off here. Waits while the one before is still there.
+        ReaderClosed where nobody takes it."""
+        if self.on_reader_closed is None:
+            raise ReaderClosed
         try:
-            self.pieces.put(piece, timeout=STALL_S)
+            self.pieces.put(piece, timeout=STALL_TIMEOUT_S)
         except Full:
-            self.leave()
-            raise Gone from None
+            self.close()
+            raise ReaderClosed from None
 
-    def last(self) -> None:
-        """All has come: the reader may leave now, and nobody needs to know. Gone as by `put`."""
-        if self.on_leave is not None:
-            self.on_leave = _nothing
-        self.put(b"")
+    def finish(self) -> None:
+        """All has come: the reader may leave now, and nobody needs to know. ReaderClosed as by `write_chunk`."""
+        if self.on_reader_closed is not None:
+            self.on_reader_closed = _nothing
+        self.write_chunk(b"")
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """It breaks off here; what is on its way still arrives."""
         try:
-            self.put(None)
-        except Gone:
+            self.write_chunk(None)
+        except ReaderClosed:
             pass
 
-    def next(self) -> bytes | None:
+    def read_chunk(self) -> bytes | None:
         """The next piece. After the last, or a break, always that again."""
         if self.over:
             return None
         try:
-            piece = self.pieces.get(timeout=STALL_S)
+            piece = self.pieces.get(timeout=STALL_TIMEOUT_S)
         except Empty:
             piece = None
         self.over = not piece
         return piece
 
-    def leave(self) -> None:
-        ring, self.on_leave = self.on_leave, None
+    def close(self) -> None:
+        ring, self.on_reader_closed = self.on_reader_closed, None
         if ring:
             ring()
--- a/slatehub/fleet/sums.py
+++ b/slatehub/fleet/aggregation.py
@@ -2,9 +2,9 @@
 whom and how old a part may be. It must never count itself in a circle, whatever two members hold of who is there.
 
 The members that are alive, ordered by a hash of their names, form a heap: who stands at place i tells the one at (i -
-1) // WIDE. A parent has the lower hash, and takes what goes up from higher hashes only, so that no circle can form
-even while two members hold different lists. The first of all has the sum and hands it down. A child that changes its
-parent is counted at both until the older part has aged out."""
+1) // TREE_FANOUT. A parent has the lower hash, and takes what goes up from higher hashes only, so that no circle can
+form even while two members hold different lists. The first of all has the sum and hands it down. A child that changes
+its parent is counted at both until the older part has aged out."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from ..decisions.fleet.load import Load, clamped, read, total, worded
+from ..decisions.fleet.load import Load, clamp, decode, encode, sum_loads
+from .datagrams import MAX_BODY_BYTES
 from .membership import Membership, Out
-from .seal import ROOM
-from .words import ALIVE, NODES_MOST, Letter, Row, Sum, pack
+from .messages import ALIVE, NODES_MOST, Envelope, LoadAggregate, MemberRecord, pack
 
-WIDE = 6
+TREE_FANOUT = 6
 PERIOD_US = 600_000  # a parent of six carries twelve sums in it, one of 1,200 bytes at the most
 PART_US = 1_500_000  # a part that was not told again for so long no longer counts
 SOON_US = 50_000  # news that cannot wait goes out no more often
-CHILDREN_MOST = 4 * WIDE  # parts that are kept, while members still hold different lists
+CHILDREN_MOST = 4 * TREE_FANOUT  # parts that are kept, while members still hold different lists
 
 
 @lru_cache(maxsize=4096)
-def rank(name: str) -> bytes:
+def tree_rank(name: str) -> bytes:
     return blake2b(name.encode(), digest_size=8).digest()
 
 
@@ -37,14 +37,14 @@
     age_us: int
 
 
-class Sums:
-    """`own`: gives what this proxy carries. `fleet`, `told_at`, `age_us`: the sum of all, when it was told, how old its
+class LoadAggregation:
+    """`own`: gives what this proxy carries. `total`, `told_at`, `age_us`: the sum of all, when it was told, how old its
     oldest part was then."""
 
     def __init__(self, members: Membership, own: Callable[[int], Load]) -> None:
         self.members, self.own = members, own
         self.parts: dict[str, Part] = {}
-        self.fleet: Load | None = None
+        self.total: Load | None = None
         self.told_at = self.age_us = self.turn = 0
         self.next = 0
         self.soonest = 0
@@ -53,13 +53,13 @@
 
     # ------------------------------------------------------------ the tree
 
-    def _line(self) -> list[Row]:
+    def _line(self) -> list[MemberRecord]:
         """Who stands in the tree, ourselves included, in order."""
-        rows = [m.row for m in self.members.table.rows.values() if m.row.state == ALIVE]
-        return sorted([*rows, self.members.me], key=lambda row: (rank(row.name), row.name))
+        rows = [m.record for m in self.members.member_table.members.values() if m.record.state == ALIVE]
+        return sorted([*rows, self.members.self_record], key=lambda row: (tree_rank(row.name), row.name))
 
-    def _place(self, line: list[Row]) -> int:
-        return next(i for i, row in enumerate(line) if row.name == self.members.me.name)
+    def _place(self, line: list[MemberRecord]) -> int:
+        return next(i for i, row in enumerate(line) if row.name == self.members.self_record.name)
 
     # ------------------------------------------------------------ time
 
@@ -83,43 +83,46 @@
         for name in [n for n, part in self.parts.items() if now - part.at > PART_US]:
             del self.parts[name]
         own = self.own(now)
-        load = total([own, *(part.load for part in self.parts.values())])
+        load = sum_loads([own, *(part.load for part in self.parts.values())])
         age = max([0, *(now - part.at + part.age_us for part in self.parts.values())])
         if place:
-            self._send(line[(place - 1) // WIDE], load, False, age, int(hurried))
+            self._send(line[(place - 1) // TREE_FANOUT], load, False, age, int(hurried))
             return
         self.turn = (self.turn + 1) & 0xFFFFFFFF
         self._take(now, load, age, self.turn)
         self._hand_down(line, place)
 
-    def _hand_down(self, line: list[Row], place: int) -> None:
-        if self.fleet:
-            for row in line[place * WIDE + 1 : place * WIDE + 1 + WIDE]:
-                self._send(row, self.fleet, True, self.age_us, self.turn)
+    def _hand_down(self, line: list[MemberRecord], place: int) -> None:
+        if self.total:
+            for row in line[place * TREE_FANOUT + 1 : place * TREE_FANOUT + 1 + TREE_FANOUT]:
+                self._send(row, self.total, True, self.age_us, self.turn)
 
-    def _send(self, row: Row, load: Load, down: bool, age_us: int, turn: int) -> None:
-        plain, classes, nodes = worded(load, NODES_MOST)
+    def _send(self, row: MemberRecord, load: Load, down: bool, age_us: int, turn: int) -> None:
+        plain, classes, nodes = encode(load, NODES_MOST)
         age_ms = min(60_000, age_us // 1000)
-        message = Sum(down, turn, min(65535, load.members), age_ms, plain, classes, nodes)
+        message = LoadAggregate(down, turn, min(65535, load.members), age_ms, plain, classes, nodes)
         while (
-            nodes and len(pack(self.members.me.name, message)) > ROOM
+            nodes and len(pack(self.members.self_record.name, message)) > MAX_BODY_BYTES
         ):  # figures far beyond the usual take more bytes
             nodes = nodes[: len(nodes) // 2]
-            message = Sum(down, turn, min(65535, load.members), age_ms, plain, classes, nodes)
+            message = LoadAggregate(down, turn, min(65535, load.members), age_ms, plain, classes, nodes)
         self.members.out.append(Out(row.host, row.port, row.session, message))
 
     # ------------------------------------------------------------ messages in
 
-    def heard(self, now: int, letter: Letter, message: Sum) -> None:
+    def heard(self, now: int, letter: Envelope, message: LoadAggregate) -> None:
         """A part from below, or the whole from above. What a member's place does not entitle it to say is refused."""
-        held = self.members.table.rows.get(letter.sender)
-        load = read(message.members, message.plain, message.classes, message.nodes)
-        below = (rank(letter.sender), letter.sender) > (rank(self.members.me.name), self.members.me.name)
+        held = self.members.member_table.members.get(letter.sender)
+        load = decode(message.members, message.plain, message.classes, message.nodes)
+        below = (tree_rank(letter.sender), letter.sender) > (
+            tree_rank(self.members.self_record.name),
+            self.members.self_record.name,
+        )
         if held is None or load is None or below == message.down:
             self.refused += 1
             return
-        living = 1 + sum(1 for m in self.members.table.rows.values() if m.living)
-        load = clamped(load, living)
+        living = 1 + sum(1 for m in self.members.member_table.members.values() if m.living)
+        load = clamp(load, living)
         if message.down:
             if self.told_at and now - self.told_at < PERIOD_US // 2 and message.turn == self.turn:
                 return  # came twice
@@ -135,7 +138,7 @@
             self.hurry(now)
 
     def _take(self, now: int, load: Load, age_us: int, turn: int) -> None:
-        self.fleet, self.told_at, self.age_us, self.turn = load, now, age_us, turn
+        self.total, self.told_at, self.age_us, self.turn = load, now, age_us, turn
 
     def age(self, now: int) -> int:
         """Of the oldest part in the sum of all, microseconds."""
--- a/slatehub/fleet/seal.py
+++ b/slatehub/fleet/datagrams.py
@@ -18,11 +18,11 @@
 
 Key = tuple[bytes, bytes]  # its id, 4 bytes; the secret
 VERSION = 1
-LARGEST = 1200  # bytes of a datagram: passes every path without being cut up
+MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram: passes every path without being cut up
 HEAD = struct.Struct("!B4sQQQ")
 TAG = 16
-ROOM = LARGEST - HEAD.size - TAG  # for a body
-WINDOW = 128  # sequences back from the newest that are still taken
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - HEAD.size - TAG  # for a body
+REPLAY_WINDOW = 128  # sequences back from the newest that are still taken
 SESSIONS = 4096  # whose windows are kept
 PERSON = b"slatehub-fleet-1"
 
@@ -30,11 +30,11 @@
 @dataclass(frozen=True, slots=True)
 class Opened:
     session: int  # the sender's
-    fresh: bool  # names our session: written in our lifetime, for us
+    is_current_session: bool  # names our session: written in our lifetime, for us
     body: bytes
 
 
-class Window:
+class ReplayWindow:
     """Which sequences of one session have come."""
 
     __slots__ = ("bits", "last")
@@ -42,26 +42,26 @@
     def __init__(self) -> None:
         self.last = self.bits = 0
 
-    def take(self, sequence: int) -> bool:
+    def accept(self, sequence: int) -> bool:
         """Whether it is new. One older than the window counts as seen."""
         ahead = sequence - self.last
         if ahead > 0:
-            self.bits = (self.bits << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            self.bits = (self.bits << min(ahead, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.last = sequence
             return True
-        if ahead <= -WINDOW or self.bits >> -ahead & 1:
+        if ahead <= -REPLAY_WINDOW or self.bits >> -ahead & 1:
             return False
         self.bits |= 1 << -ahead
         return True
 
 
-class Seal:
+class DatagramSealer:
     """One process's end of the link. `counts`: what was dropped, by reason."""
 
     def __init__(self, keys: Sequence[Key], fleet: str, tier: int, session: int) -> None:
         self.session = session
         self.sequence = 0
-        self.windows: OrderedDict[int, Window] = OrderedDict()
+        self.windows: OrderedDict[int, ReplayWindow] = OrderedDict()
         self.counts = dict.fromkeys(("oversize", "short", "version", "key", "forged", "replay", "own"), 0)
         self.fleet, self.tier = fleet, tier
         self.rekey(keys)
@@ -85,15 +85,15 @@
 
     def seal(self, body: bytes, to: int) -> bytes:
         """The datagram for a receiver of this session. ValueError where the body is too long: a fault of ours."""
-        if len(body) > ROOM:
-            raise ValueError(f"a body of {len(body)} bytes, {ROOM} at most")
+        if len(body) > MAX_BODY_BYTES:
+            raise ValueError(f"a body of {len(body)} bytes, {MAX_BODY_BYTES} at most")
         self.sequence += 1
         data = HEAD.pack(VERSION, self.ident, self.session, to, self.sequence) + body
         return data + self._tag(self.ident, data)
 
     def open(self, data: bytes) -> Opened | None:
         """What came, if it may be listened to; None and a count otherwise."""
-        if len(data) > LARGEST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             return self._drop("oversize")
         if len(data) < HEAD.size + TAG:
             return self._drop("short")
@@ -106,14 +106,14 @@
             return self._drop("forged")
         if session == self.session:
             return self._drop("own")  # sent back to us
-        if not self._window(session).take(sequence):
+        if not self._window(session).accept(sequence):
             return self._drop("replay")
         return Opened(session, to == self.session, data[HEAD.size : -TAG])
 
-    def _window(self, session: int) -> Window:
+    def _window(self, session: int) -> ReplayWindow:
         window = self.windows.get(session)
         if window is None:
-            window = self.windows[session] = Window()
+            window = self.windows[session] = ReplayWindow()
             if len(self.windows) > SESSIONS:
                 self.windows.popitem(last=False)
         else:
--- a/slatehub/fleet/driver.py
+++ b/slatehub/fleet/driver.py
@@ -13,13 +13,13 @@
 
 from paddlestep.interface import Peers
 
-from ..drivers.clock import Alarm, clock
-from ..observe.log import say, where
-from ..settings.operator import FleetTable
-from .membership import Bucket, Change
-from .peer import Peer, Place
-from .seal import LARGEST
-from .share import Share
+from ..drivers.clock import Timer, clock
+from ..observe.log import error_location, log_event
+from ..settings.operator import FleetConfig
+from .datagrams import MAX_DATAGRAM_BYTES
+from .load_sharing import LoadSharing
+from .membership import Bucket, MemberChange
+from .peer import Peer, PeerIdentity
 
 BATCH = 32  # datagrams read before others have their turn
 RATE = 2_000  # datagrams a second that are read at all, at some 15 us each: 3 % of a core
@@ -34,34 +34,36 @@
 class FleetDriver:
     """One process's membership. `seed`: of this process."""
 
-    def __init__(self, name: str, tier: int, terms: FleetTable, seed: int) -> None:
+    def __init__(self, name: str, tier: int, terms: FleetConfig, seed: int) -> None:
         assert terms.listen
-        self.terms = terms
+        self.settings = terms
         host, port = terms.advertise or terms.listen
-        place = Place(name, terms.name, tier, host, port, terms.seeds)
-        self.peer = Peer(place, terms.keys(), clock(), Random(seed ^ clock()))
+        place = PeerIdentity(name, terms.name, tier, host, port, terms.seeds)
+        self.peer = Peer(place, terms.read_keys(), clock(), Random(seed ^ clock()))
         self.sock: Any = None
         self.reader: Any = None
-        self.alarm: Alarm | None = None
+        self.timer: Timer | None = None
         self.all, self.unknown = Bucket(RATE, RATE / 10), Bucket(UNKNOWN_RATE, UNKNOWN_RATE / 10)
         self.sources: OrderedDict[Any, None] = OrderedDict()
         self.dropped = {"unknown": 0, "unsent": 0, "held_back": 0}
 
-    def share(self, module: Callable[[], Any], hear: Callable[[int, Peers, int], None]) -> Share:
+    def start_load_sharing(
+        self, module: Callable[[], Any], hear: Callable[[int, Peers, int], None]
+    ) -> LoadSharing:
         """What this proxy carries is told, and what all carry goes to `hear`. The share is to see each turn."""
-        return self.peer.tell_load(clock(), module, hear)
+        return self.peer.start_load_sharing(clock(), module, hear)
 
-    def post(self, name: str, topic: int, body: bytes) -> None:
+    def send_payload(self, name: str, topic: int, body: bytes) -> None:
         """To the same part of another proxy, as far as it is known; it may be lost like any datagram."""
-        if self.peer.post(name, topic, body):
+        if self.peer.send_payload(name, topic, body):
             self._send()
 
-    def tell(self, topic: int, body: bytes) -> None:
+    def broadcast(self, topic: int, body: bytes) -> None:
         """To all who are there."""
-        for name in [m.row.name for m in self.peer.members.table.living()]:
-            self.post(name, topic, body)
+        for name in [m.record.name for m in self.peer.membership.member_table.live_members()]:
+            self.send_payload(name, topic, body)
 
-    def busier(self) -> None:
+    def raise_receive_limit(self) -> None:
         """Another part speaks over this link too: more is read in a second, at the cost of as much more of the core."""
         self.all = Bucket(POSTS_RATE, POSTS_RATE / 10)
 
@@ -73,8 +75,8 @@
             self.reader = gevent.spawn(self._read)
 
     def _bind(self) -> Any:
-        assert self.terms.listen
-        host, port = self.terms.listen
+        assert self.settings.listen
+        host, port = self.settings.listen
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
@@ -92,20 +94,22 @@
                 self.sock = self._bind()
             except OSError as problem:
                 if not told:
-                    say("fleet", f"no socket yet, trying on: {problem}", "warning")
+                    log_event("fleet", f"no socket yet, trying on: {problem}", "warning")
                 told = True
                 gevent.sleep(AGAIN_S)
         host, port = self.sock.getsockname()[:2]
-        say("fleet", f"{self.peer.place.name} speaks with fleet {self.terms.name} at {host}:{port}")
+        log_event(
+            "fleet", f"{self.peer.identity.name} speaks with fleet {self.settings.name} at {host}:{port}"
+        )
 
     def close(self, leave: bool) -> None:
         """`leave`: says good-bye; otherwise another process of this proxy takes the name up."""
         if leave and self.sock:
-            self.peer.members.leave(clock())
+            self.peer.membership.leave(clock())
             self._send()
-        if self.alarm:
-            self.alarm.off()
-            self.alarm = None
+        if self.timer:
+            self.timer.cancel()
+            self.timer = None
         if self.reader:
             self.reader.kill()
             self.reader = None
@@ -113,10 +117,10 @@
             self.sock.close()
             self.sock = None
 
-    def rekey(self, terms: FleetTable) -> None:
+    def rekey(self, terms: FleetConfig) -> None:
         """New keys, or the same, under the same names and addresses."""
-        self.terms = terms
-        self.peer.seal.rekey(terms.keys())
+        self.settings = terms
+        self.peer.sealer.rekey(terms.read_keys())
 
     # ------------------------------------------------------------ in and out
 
@@ -130,7 +134,7 @@
                 gevent.sleep(0.05)  # the system drops what its buffer does not hold
                 continue
             try:
-                data, source = self.sock.recvfrom(LARGEST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # an answer that nobody listens where we sent to: no news
                 if self.sock.fileno() < 0:
                     return
@@ -146,37 +150,41 @@
             self.dropped["unknown"] += 1
             return
         try:
-            before = sum(self.peer.seal.counts.values())
-            self.peer.received(clock(), data)
-            if not known and sum(self.peer.seal.counts.values()) == before:
+            before = sum(self.peer.sealer.counts.values())
+            self.peer.receive(clock(), data)
+            if not known and sum(self.peer.sealer.counts.values()) == before:
                 self.sources[source] = None
                 if len(self.sources) > SOURCES:
                     self.sources.popitem(last=False)
             self._after()
         except Exception as problem:  # ours: nobody else may suffer from it
-            say("fault", f"fleet: {type(problem).__name__}: {problem}", "error", where=where(problem))
+            log_event(
+                "fault", f"fleet: {type(problem).__name__}: {problem}", "error", where=error_location(problem)
+            )
 
     def _turn(self) -> None:
-        wanted, self.alarm = self.alarm, None
+        wanted, self.timer = self.timer, None
         try:
             now = clock()
             self.peer.advance(now, max(0, now - wanted.due) if wanted else 0)
         except Exception as problem:
-            say("fault", f"fleet: {type(problem).__name__}: {problem}", "error", where=where(problem))
+            log_event(
+                "fault", f"fleet: {type(problem).__name__}: {problem}", "error", where=error_location(problem)
+            )
         self._after()
 
     def _after(self) -> None:
         self._send()
-        for change in self.peer.news():
+        for change in self.peer.drain_changes():
             self._tell(change)
-        due = max(self.peer.due(), clock() + 1_000)
-        if self.alarm is None or due < self.alarm.due:
-            if self.alarm:
-                self.alarm.off()
-            self.alarm = Alarm(due, self._turn)
+        due = max(self.peer.next_deadline(), clock() + 1_000)
+        if self.timer is None or due < self.timer.due:
+            if self.timer:
+                self.timer.cancel()
+            self.timer = Timer(due, self._turn)
 
     def _send(self) -> None:
-        for host, port, data in self.peer.take():
+        for host, port, data in self.peer.drain_datagrams():
             if not self.sock:
                 return
             try:
@@ -184,9 +192,9 @@
             except OSError:
                 self.dropped["unsent"] += 1  # a full buffer, no route: as if lost on the way
 
-    def _tell(self, change: Change) -> None:
-        counts = self.peer.tally()
-        say(
+    def _tell(self, change: MemberChange) -> None:
+        counts = self.peer.member_counts()
+        log_event(
             "fleet", f"{change.name} is {change.state}: {change.cause}", LEVELS.get(change.state, "info"),
             member=change.name, state=change.state, alive=counts.alive + 1, lost=counts.lost,
         )  # fmt: skip
@@ -195,11 +203,13 @@
 
     def status(self) -> dict[str, Any]:
         """All of it, as JSON."""
-        peer, counts, now = self.peer, self.peer.tally(), clock()
+        peer, counts, now = self.peer, self.peer.member_counts(), clock()
         return {
-            "name": peer.place.name, "fleet": peer.place.fleet, "tier": peer.place.tier,
-            "session": f"{peer.seal.session:016x}", "speaking": self.sock is not None, "health": peer.members.health,
+            "name": peer.identity.name, "fleet": peer.identity.fleet, "tier": peer.identity.tier,
+            "session": f"{peer.sealer.session:016x}", "speaking": self.sock is not None,
+            "health": peer.membership.health,
             "alive": counts.alive + 1, "suspect": counts.suspect, "lost": counts.lost,
-            "shared": peer.share.shown(now) if peer.share else {},
-            "traffic": dict(peer.counts), "dropped": peer.dropped() | self.dropped, "members": peer.roll(now),
+            "shared": peer.load_sharing.shown(now) if peer.load_sharing else {},
+            "traffic": dict(peer.counts), "dropped": peer.drop_counts() | self.dropped,
+            "members": peer.member_list(now),
         }  # fmt: skip
--- a/slatehub/fronts/http1/taker.py
+++ b/slatehub/fronts/http1/request_parser.py
@@ -7,28 +7,34 @@
 
 import httptools
 
-from ...core.bounds import BODY_LIMIT, BULK_LIMIT, HEAD_LIMIT, PIECE, RAW_LIMIT
+from ...core.limits import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
+    READ_CHUNK_BYTES,
+)
 from ...drivers.clock import clock
-from ..check import Bad, Request, origin
+from ..validation import LocalResponse, ReceivedRequest, to_origin_form
 
 SINGLE = (
     "content-length", "transfer-encoding", "host", "x-request-id", "x-priority-class", "x-tenant-id", "x-timeout",
 )  # fmt: skip
 
 
-class Taker:
+class RequestParser:
     """Parses what a caller sends; httptools calls its on_ methods. Whole requests, or one fault at the end, are
-    left in `done`."""
+    left in `parsed`."""
 
-    def __init__(self, most: int = BULK_LIMIT) -> None:
-        self.most = most  # bytes of one body
+    def __init__(self, most: int = MAX_BODY_BYTES) -> None:
+        self.max_body = most  # bytes of one body
         self.parser: Any = httptools.HttpRequestParser(self)
-        self.done: list[Request | Bad] = []
-        self.busy = False  # within a request
+        self.parsed: list[ReceivedRequest | LocalResponse] = []
+        self.in_request = False  # within a request
         self.in_head = False
-        self.raw = 0  # bytes since the last whole request
-        self.expects = False
-        self.fault: Bad | None = None
+        self.bytes_read = 0  # bytes since the last whole request
+        self.expects_continue = False
+        self.error: LocalResponse | None = None
         self._clear()
 
     def _clear(self) -> None:
@@ -37,40 +43,40 @@
         self.headers: dict[str, str] = {}
         self.twice: set[str] = set()
         self.body = bytearray()
-        self.claim = 0  # the length of a body over BODY_LIMIT, as its head has it
+        self.declared_length = 0  # the length of a body over MAX_BUFFERED_BODY_BYTES, as its head has it
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Lets go of the parser, which holds this: with what was read, the two would wait for the collector."""
         self.parser = None
         self._clear()
 
     def feed(self, data: bytes) -> None:
-        if self.fault:
+        if self.error:
             return
-        whole = len(self.done)
+        whole = len(self.parsed)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.fault = self.fault or Bad(400, "malformed request")
-        self.raw = (0 if len(self.done) > whole else self.raw) + len(data)
+            self.error = self.error or LocalResponse(400, "malformed request")
+        self.bytes_read = (0 if len(self.parsed) > whole else self.bytes_read) + len(data)
         # What the parser holds back counts too: a header or trailer that never ends is not reported by it.
-        if self.raw > HEAD_LIMIT + PIECE and (self.in_head or not self.busy):
-            self.fault = self.fault or Bad(431, "head too large")
-        elif self.raw > RAW_LIMIT + 2 * len(self.body):
-            self.fault = self.fault or Bad(413, "too many bytes for one request")
-        if self.fault:
-            self.reject(self.fault)
-
-    def reject(self, fault: Bad) -> None:
+        if self.bytes_read > MAX_HEAD_BYTES + READ_CHUNK_BYTES and (self.in_head or not self.in_request):
+            self.error = self.error or LocalResponse(431, "head too large")
+        elif self.bytes_read > MAX_MESSAGE_BYTES + 2 * len(self.body):
+            self.error = self.error or LocalResponse(413, "too many bytes for one request")
+        if self.error:
+            self.reject(self.error)
+
+    def reject(self, fault: LocalResponse) -> None:
         """Nothing more is read; what has come of the request is of no more use."""
-        self.fault = fault
-        self.done.append(fault)
-        self.raw = 0
+        self.error = fault
+        self.parsed.append(fault)
+        self.bytes_read = 0
         self._clear()
 
     def on_message_begin(self) -> None:
         self._clear()
-        self.busy = self.in_head = True
+        self.in_request = self.in_head = True
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -82,8 +88,8 @@
         key = name.decode("latin-1").lower()
         self.size += len(name) + len(value) + 4
         text = value.decode("latin-1").strip()
-        if not text.replace("\t", " ").isprintable() and not self.fault:
-            self.fault = Bad(
+        if not text.replace("\t", " ").isprintable() and not self.error:
+            self.error = LocalResponse(
                 400, "control character in a header"
             )  # some headers go on to a node as they came
         if key in self.headers:
@@ -94,42 +100,42 @@
         self.in_head = False
         length = self.headers.get("content-length", "0")
         coding = self.headers.get("transfer-encoding")
-        if self.fault:
+        if self.error:
             pass
         elif self.parser.should_upgrade():
-            self.fault = Bad(400, "no other protocol is spoken here")
-        elif self.size > HEAD_LIMIT:
-            self.fault = Bad(431, "head too large")
+            self.error = LocalResponse(400, "no other protocol is spoken here")
+        elif self.size > MAX_HEAD_BYTES:
+            self.error = LocalResponse(431, "head too large")
         elif coding is not None and "content-length" in self.headers:
-            self.fault = Bad(400, "both Content-Length and Transfer-Encoding")
+            self.error = LocalResponse(400, "both Content-Length and Transfer-Encoding")
         elif coding is not None and coding.lower() != "chunked":
-            self.fault = Bad(400, "unknown Transfer-Encoding")
-        elif length.isdigit() and int(length[:20]) > self.most:
-            self.fault = Bad(413, "body too large")
-        elif length.isdigit() and int(length) > BODY_LIMIT:
-            self.claim = int(length)
-        self.expects = self.headers.get("expect", "").lower() == "100-continue"
+            self.error = LocalResponse(400, "unknown Transfer-Encoding")
+        elif length.isdigit() and int(length[:20]) > self.max_body:
+            self.error = LocalResponse(413, "body too large")
+        elif length.isdigit() and int(length) > MAX_BUFFERED_BODY_BYTES:
+            self.declared_length = int(length)
+        self.expects_continue = self.headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, body: bytes) -> None:
-        if len(self.body) + len(body) > self.most:
-            self.fault = self.fault or Bad(413, "body too large")
-        if not self.fault:
+        if len(self.body) + len(body) > self.max_body:
+            self.error = self.error or LocalResponse(413, "body too large")
+        if not self.error:
             self.body += body
 
     def on_message_complete(self) -> None:
-        self.busy = self.expects = False
-        if self.fault:
+        self.in_request = self.expects_continue = False
+        if self.error:
             return
         if self.twice.intersection(SINGLE):
-            self.fault = Bad(400, "a header stands twice")
+            self.error = LocalResponse(400, "a header stands twice")
             return
-        self.done.append(
-            Request(
+        self.parsed.append(
+            ReceivedRequest(
                 self.parser.get_method().decode("latin-1"),
-                origin(self.url.decode("latin-1")),
+                to_origin_form(self.url.decode("latin-1")),
                 self.headers,
                 bytes(self.body)
-                if len(self.body) <= BODY_LIMIT
+                if len(self.body) <= MAX_BUFFERED_BODY_BYTES
                 else self.body,  # a large one is never copied
                 clock(),  # its time counts from here, also while it waits for its turn
                 bool(self.parser.should_keep_alive()),
