--- a/slatehub/fronts/http1/screens.py
+++ b/slatehub/fronts/http1/server.py
@@ -17,41 +17,47 @@
 from gevent.event import Event as Bell
 from gevent.queue import Queue
 
-from ...core.bounds import OUT_OF_FILES, PIECE, RAW_LIMIT
-from ...core.jobs import Answer, Job, Order, Printed, Rest, Verdict
-from ...decisions.drain import TAKEN_OVER_US, Drain
-from ...decisions.pacing import Door, DoorTerms
-from ...decisions.stall import BEAT_US, Stalls
-from ...decisions.stop import PlannedStop
-from ...drivers.clock import BEGAN, Alarm, clock
-from ...drivers.desk import DeskDriver
-from ...observe.log import say, where
-from ...settings.reader import Address, Plant
-from ..check import Bad, Request, check, order_key, order_promise
+from ...core.jobs import Answer, AnswerStatus, BodyStream, Job, NodeRequest, NodeResponse
+from ...core.limits import MAX_MESSAGE_BYTES, READ_CHUNK_BYTES, RESOURCE_EXHAUSTED_ERRNOS
+from ...decisions.drain import HANDOVER_IDLE_GRACE_US, Drain
+from ...decisions.pacing import AcceptLimiter, AcceptLimiterConfig
+from ...decisions.shutdown import ShutdownSchedule
+from ...decisions.stall import HEARTBEAT_INTERVAL_US, StallDetector
+from ...drivers.clock import PROCESS_STARTED_US, Timer, clock
+from ...drivers.dispatcher import DispatcherDriver
+from ...observe.log import error_location, log_event
+from ...settings.reader import Address, ProxyConfig
 from ..listener import listen
-from ..words import STATUS, retry_after, text
-from .taker import Taker
-
-SILENT_US = 2_200_000  # for the first byte on a new connection
-FIRST_US = 2_700_000  # from connecting, for the whole of the first request
-SLOW_US = 4_000_000  # for the whole of a later request once begun, where its body asks for no more
-BODY_FIRST_US = 1_000_000  # for a body to begin to come
+from ..responses import STATUS_CODES, error_body, retry_after_value
+from ..validation import (
+    LocalResponse,
+    ReceivedRequest,
+    intent_register_key,
+    request_fingerprint,
+    validate_request,
+)
+from .request_parser import RequestParser
+
+FIRST_BYTE_TIMEOUT_US = 2_200_000  # for the first byte on a new connection
+FIRST_REQUEST_TIMEOUT_US = 2_700_000  # from connecting, for the whole of the first request
+REQUEST_TIMEOUT_US = 4_000_000  # for the whole of a later request once begun, where its body asks for no more
+BODY_START_TIMEOUT_US = 1_000_000  # for a body to begin to come
 BODY_PER_S = 48_000  # bytes of a body that come in a second on average, from then on
 SMALL_PART = 8  # of the bytes in hand one such part is kept from large bodies
 ROOM_US = 10_000_000  # for a large body to find room
-KEEP_US = 10_000_000  # between requests
-TAKE_US = 10_000_000  # for a caller to take its answer
+KEEP_ALIVE_US = 10_000_000  # between requests
+RESPONSE_WRITE_TIMEOUT_US = 10_000_000  # for a caller to take its answer
 LINGER_US = 4_000_000  # for a caller to stop sending after an answer that ends the connection
 PACE_S = 0.002  # between two looks at what such a caller still sends
 GONE_S = 0.03  # between two looks whether callers who are not being read have gone: no attempt may begin 0.1 s later
-AHEAD_MOST = (
+MAX_READ_AHEAD_BYTES = (
     4 * 1024 * 1024
 )  # bytes taken off the system's hands meanwhile: behind more of them no close is seen
 AHEAD_PART = 4  # of the bytes in hand, such of all callers are one such part at the most
 AHEAD_PIECES = 64  # at a time, so that one who writes without end leaves the others their turn
-GREEN_US = 200_000  # a connection younger than this may have its first request on its way
+MIN_EVICTION_AGE_US = 200_000  # a connection younger than this may have its first request on its way
 AHEAD = 1  # pipelined requests kept before their turn; what comes after them stays with the kernel
-MARGIN_US = 5_000  # an answer must have reached the caller by its time, not just have left here
+DELIVERY_MARGIN_US = 5_000  # an answer must have reached the caller by its time, not just have left here
 NEWCOMER_US = 500_000  # while callers should go, for the first request on a connection just made
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
@@ -64,35 +70,35 @@
 PASSED_ON = ("x-request-id", "x-priority-class", "x-tenant-id", "x-retried", "x-attrs", "content-type")
 
 
-class OrderScreen:
+class CallerConnection:
     """One caller's connection: a greenlet reads, another serves what was read, in turn."""
 
-    def __init__(self, hall: OrderHall, sock: Any) -> None:
-        self.hall = hall
+    def __init__(self, hall: HttpServer, sock: Any) -> None:
+        self.http_server = hall
         self.sock = sock
         self.since = clock()
         self.fresh = True  # nothing has been served on it
         self.weight = 0  # bytes of requests in hand
-        self.ahead = bytearray()  # come while the reader stood still, and not read yet
+        self.read_ahead_buffer = bytearray()  # come while the reader stood still, and not read yet
         self.headed = self.least = (
             0  # of the request that is coming: when its head had come, its time at the least
         )
-        self.item: Request | Bad | None = None  # what is being served
-        self.alarm: Alarm | None = None  # for what the caller is waited for
-        self.taker = Taker()
-        self.orders: Queue[Request | Bad] = Queue(AHEAD)
+        self.item: ReceivedRequest | LocalResponse | None = None  # what is being served
+        self.timer: Timer | None = None  # for what the caller is waited for
+        self.parser = RequestParser()
+        self.orders: Queue[ReceivedRequest | LocalResponse] = Queue(AHEAD)
         self.job: Job | None = None
         self.result: AsyncResult[Answer] = AsyncResult()
-        self.rest: Rest | None = None  # of a large answer that is being passed on
+        self.rest: BodyStream | None = None  # of a large answer that is being passed on
         self.serving = False  # an order has been picked up and is not yet answered
         self.closed = False
-        self._expect(self.since + SILENT_US, self._quiet)
+        self._expect(self.since + FIRST_BYTE_TIMEOUT_US, self._quiet)
         self.reader = gevent.spawn(self._read)
         self.server = gevent.spawn(self._serve)
 
     @property
     def idle(self) -> bool:
-        return not (self.owed or self.taker.busy)
+        return not (self.owed or self.parser.in_request)
 
     @property
     def owed(self) -> bool:
@@ -103,8 +109,8 @@
         wanted = (
             job is self.job
         )  # else it was for a request that has ended here, and must not answer the next one
-        if (self.closed or not wanted) and answer.printed and answer.printed.rest:
-            answer.printed.rest.leave()
+        if (self.closed or not wanted) and answer.response and answer.response.body_stream:
+            answer.response.body_stream.close()
         if wanted:
             self.result.set(answer)
 
@@ -114,30 +120,35 @@
         self.closed = True
         self._expect()
         if self.rest:
-            self.rest.leave()
-        elif self.result.ready() and (answer := self.result.get()) and answer.printed and answer.printed.rest:
-            answer.printed.rest.leave()  # it had come, and nobody had begun to write it
-        self.hall.weight -= self.weight
-        self.hall.ahead -= len(self.ahead)
+            self.rest.close()
+        elif (
+            self.result.ready()
+            and (answer := self.result.get())
+            and answer.response
+            and answer.response.body_stream
+        ):
+            answer.response.body_stream.close()  # it had come, and nobody had begun to write it
+        self.http_server.bytes_held -= self.weight
+        self.http_server.bytes_read_ahead -= len(self.read_ahead_buffer)
         self.weight = 0
-        self.ahead.clear()
-        self.hall.freed.set()
+        self.read_ahead_buffer.clear()
+        self.http_server.memory_released.set()
         if self.job:
-            self.hall.desk.gone(self.job)
+            self.http_server.dispatcher.caller_disconnected(self.job)
         for greenlet in (self.reader, self.server):
             if greenlet is not gevent.getcurrent():
                 greenlet.kill(block=False)
         # Each greenlet holds the screen: rings, in which all that passed here would wait for the collector.
         del self.reader, self.server
         self.sock.close()
-        self.taker.end()
-        self.hall.leave(self)
+        self.parser.close()
+        self.http_server.remove(self)
 
     @property
     def quiet(self) -> bool:
         """Whether nothing is on its way from this caller: closing now crosses no request. What has come may not have
         been read yet while many come at once."""
-        return not (self.ahead or self._come)
+        return not (self.read_ahead_buffer or self._come)
 
     @property
     def _come(self) -> bool:
@@ -159,50 +170,55 @@
     @contextmanager
     def _deaf(self) -> Iterator[None]:
         """While the reader stands still it does not hear its caller go."""
-        self.hall.unheard(self)
+        self.http_server.unheard(self)
         try:
             yield
         finally:
-            if not self.taker.fault:  # after one nothing is read any more
-                self.hall.deaf.discard(self)
+            if not self.parser.error:  # after one nothing is read any more
+                self.http_server.deaf.discard(self)
 
-    def take_ahead(self) -> None:
+    def read_ahead(self) -> None:
         """Takes what has come off the system's hands, unread, while the reader stands still: once the system holds no
         more, its caller's close stays behind that, with the caller. Not of a large body that waits for its room."""
         for _ in range(AHEAD_PIECES):
-            full = len(self.ahead) >= AHEAD_MOST or self.hall.ahead >= self.hall.room // AHEAD_PART
-            if self.closed or self.job is None or self in self.hall.in_line or full or not self._come:
+            full = (
+                len(self.read_ahead_buffer) >= MAX_READ_AHEAD_BYTES
+                or self.http_server.bytes_read_ahead >= self.http_server.memory_limit // AHEAD_PART
+            )
+            if self.closed or self.job is None or self in self.http_server.in_line or full or not self._come:
                 return
-            piece = self.sock.recv(PIECE)
+            piece = self.sock.recv(READ_CHUNK_BYTES)
             if not piece:
                 return
-            if not self.taker.fault:  # after one nothing is read any more
-                self.ahead += piece
-                self.hall.ahead += len(piece)
+            if not self.parser.error:  # after one nothing is read any more
+                self.read_ahead_buffer += piece
+                self.http_server.bytes_read_ahead += len(piece)
                 self.weight += len(piece)
-                self.hall.weight += len(piece)
+                self.http_server.bytes_held += len(piece)
 
     def _next(self) -> bytes:
         """What the caller has sent next."""
-        piece = bytes(self.ahead[:PIECE])
-        del self.ahead[:PIECE]
-        self.hall.ahead -= len(piece)
-        return piece or bytes(self.sock.recv(PIECE))
+        piece = bytes(self.read_ahead_buffer[:READ_CHUNK_BYTES])
+        del self.read_ahead_buffer[:READ_CHUNK_BYTES]
+        self.http_server.bytes_read_ahead -= len(piece)
+        return piece or bytes(self.sock.recv(READ_CHUNK_BYTES))
 
     # ------------------------------------------------------------ what a caller is waited for
 
     def _expect(self, due: int = 0, ring: Callable[[], None] | None = None) -> None:
         """The one limit of time that this caller is under; none while a whole request of its is in hand."""
-        if self.alarm:
-            self.alarm.off()
-        self.alarm = Alarm(due, ring) if ring and not self.closed else None
+        if self.timer:
+            self.timer.cancel()
+        self.timer = Timer(due, ring) if ring and not self.closed else None
 
     def _due(self) -> int:
         """Until when the rest of this request is waited for: longer for a body that goes on coming at a fair pace."""
-        if self.taker.in_head:
+        if self.parser.in_head:
             return self.least
         self.headed = self.headed or clock()
-        return max(self.least, self.headed + BODY_FIRST_US + len(self.taker.body) * 1_000_000 // BODY_PER_S)
+        return max(
+            self.least, self.headed + BODY_START_TIMEOUT_US + len(self.parser.body) * 1_000_000 // BODY_PER_S
+        )
 
     def _quiet(self) -> None:
         if self.idle and self.quiet:
@@ -210,50 +226,61 @@
 
     def _slow(self) -> None:
         """The rest of a request is too long in coming; what was read whole before it is still answered."""
-        if not self.taker.fault:
-            self.taker.fault = Bad(408, "request not finished in time")
+        if not self.parser.error:
+            self.parser.error = LocalResponse(408, "request not finished in time")
             self.reader.kill(block=False)
-            self.hall.unheard(self)
-            gevent.spawn(self.orders.put, self.taker.fault)
+            self.http_server.unheard(self)
+            gevent.spawn(self.orders.put, self.parser.error)
 
     def _weigh(self) -> None:
         """Brings the hall's sum of bytes in hand up to date. A request that no room is left for is turned away before
         it is whole: it must not cost the others theirs."""
         if self.closed:
             return
-        ahead = [self.item, *self.orders.queue, *self.taker.done]
-        weight = max(self.taker.raw, self.taker.claim) * self.taker.busy
-        weight += sum(len(r.body) for r in ahead if isinstance(r, Request)) + len(self.ahead)
-        self.hall.weight += weight - self.weight
+        ahead = [self.item, *self.orders.queue, *self.parser.parsed]
+        weight = max(self.parser.bytes_read, self.parser.declared_length) * self.parser.in_request
+        weight += sum(len(r.body) for r in ahead if isinstance(r, ReceivedRequest)) + len(
+            self.read_ahead_buffer
+        )
+        self.http_server.bytes_held += weight - self.weight
         self.weight = weight
-        self.hall.freed.set()
-        if self.hall.weight > self.hall.room and self.taker.busy and not self.taker.fault:
-            say(
+        self.http_server.memory_released.set()
+        if (
+            self.http_server.bytes_held > self.http_server.memory_limit
+            and self.parser.in_request
+            and not self.parser.error
+        ):
+            log_event(
                 "memory",
-                f"no room for another request, of {max(self.taker.raw, self.taker.claim)} bytes",
+                f"no room for another request, of {max(self.parser.bytes_read, self.parser.declared_length)} bytes",
                 "warning",
             )
-            self.taker.reject(Bad(503, "no room"))
+            self.parser.reject(LocalResponse(503, "no room"))
             self._weigh()
 
     def _find_room(self) -> None:
         """Waits, before any more of a large body is read, until all of it has a place, in the order of asking; without
         a length, until what has come has one. Some room is left for small requests. Who finds none in time is turned
         away by `_weigh`."""
-        claim = self.taker.claim or (self.taker.raw if self.taker.raw > RAW_LIMIT else 0)
-        room = self.hall.room - self.hall.room // SMALL_PART
-        if claim <= self.weight or claim > room or self.hall.weight - self.weight + claim <= room:
+        claim = self.parser.declared_length or (
+            self.parser.bytes_read if self.parser.bytes_read > MAX_MESSAGE_BYTES else 0
+        )
+        room = self.http_server.memory_limit - self.http_server.memory_limit // SMALL_PART
+        if claim <= self.weight or claim > room or self.http_server.bytes_held - self.weight + claim <= room:
             return
         self._expect()  # it is we who wait
-        self.hall.in_line.append(self)
+        self.http_server.in_line.append(self)
         try:
             with self._deaf(), gevent.Timeout(ROOM_US / 1e6, False):  # type: ignore[arg-type]  # it ends without a word
-                while self.hall.in_line[0] is not self or self.hall.weight - self.weight + claim > room:
-                    self.hall.freed.clear()
-                    self.hall.freed.wait()
+                while (
+                    self.http_server.in_line[0] is not self
+                    or self.http_server.bytes_held - self.weight + claim > room
+                ):
+                    self.http_server.memory_released.clear()
+                    self.http_server.memory_released.wait()
         finally:
-            self.hall.in_line.remove(self)
-            self.hall.freed.set()
+            self.http_server.in_line.remove(self)
+            self.http_server.memory_released.set()
 
     # ------------------------------------------------------------ reading
 
@@ -263,7 +290,7 @@
             while self._taken(self._next()):
                 pass
             if not self.closed:
-                self.hall.unheard(self)
+                self.http_server.unheard(self)
         except OSError:
             self.close()
         except Exception as problem:
@@ -275,22 +302,22 @@
         if not data or self.closed:  # another greenlet may have closed it, and this one not yet been ended
             self.close()  # also when only its sending side is shut: a caller that closes has gone away
             return False
-        was = self.taker.busy
-        self.taker.feed(data)
+        was = self.parser.in_request
+        self.parser.feed(data)
         self._find_room()
-        if self.taker.raw > RAW_LIMIT:
+        if self.parser.bytes_read > MAX_MESSAGE_BYTES:
             gevent.sleep(0)  # a caller who writes faster than we read must not keep the others waiting
         if self.closed:
             return False
         self._weigh()
-        done = self.taker.done
-        if done or not self.taker.busy:
+        done = self.parser.parsed
+        if done or not self.parser.in_request:
             self._expect()
-        if self.taker.busy and not self.taker.fault:
+        if self.parser.in_request and not self.parser.error:
             if done or not was:
                 first = self.fresh and not (done or self.owed)
                 self.headed = 0
-                self.least = self.since + FIRST_US if first else clock() + SLOW_US
+                self.least = self.since + FIRST_REQUEST_TIMEOUT_US if first else clock() + REQUEST_TIMEOUT_US
             self._expect(self._due(), self._slow)
         waits = len(done) > 1 or self.orders.full()  # the usual request finds its place, and costs no look
         with self._deaf() if waits else nullcontext():
@@ -299,11 +326,11 @@
                     done[0]
                 )  # waits while too many are ahead; until then its bytes are in hand here
                 del done[0]
-        if self.taker.expects and not self.taker.fault:
-            self.taker.expects = False
+        if self.parser.expects_continue and not self.parser.error:
+            self.parser.expects_continue = False
             if not self.owed:
                 self.sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
-        return not self.taker.fault  # after one the server has the last word, and closes
+        return not self.parser.error  # after one the server has the last word, and closes
 
     # ------------------------------------------------------------ serving
 
@@ -320,24 +347,31 @@
             self.close()
 
     def _fault(self, text: str, problem: Exception) -> None:
-        request = self.item.headers.get("x-request-id") if isinstance(self.item, Request) else ""
+        request = self.item.headers.get("x-request-id") if isinstance(self.item, ReceivedRequest) else ""
         text = f"{text}: {type(problem).__name__}: {problem}"
-        say("fault", text, "error", request=request, where=where(problem))
+        log_event("fault", text, "error", request=request, where=error_location(problem))
 
-    def _turn(self, item: Request | Bad) -> bool:
+    def _turn(self, item: ReceivedRequest | LocalResponse) -> bool:
         """Answers one; whether the connection goes on after it."""
         if (
             self.closed
         ):  # in the moment in which this was handed over: the greenlet runs once more before it is ended
             return False
         self.item = item
-        if isinstance(item, Bad):
-            say("callers", f"turned down: {item.status} {item.text}")
+        if isinstance(item, LocalResponse):
+            log_event("callers", f"turned down: {item.status} {item.message}")
         self.serving = True
         status, extra, body, kind, rest = self._reply(item)
-        ahead = self.taker.busy or self.orders.qsize()  # taken, or about to be: owed an answer too
-        last = isinstance(item, Bad) or not item.keep or (self.hall.parting and not ahead)
-        chunked = isinstance(item, Request) and item.chunks and rest is not None and rest.length is None
+        ahead = self.parser.in_request or self.orders.qsize()  # taken, or about to be: owed an answer too
+        last = (
+            isinstance(item, LocalResponse) or not item.keep_alive or (self.http_server.parting and not ahead)
+        )
+        chunked = (
+            isinstance(item, ReceivedRequest)
+            and item.accepts_chunked
+            and rest is not None
+            and rest.length is None
+        )
         last = last or (
             rest is not None and rest.length is None and not chunked
         )  # it ends with its connection
@@ -348,7 +382,7 @@
         head = f"HTTP/1.1 {status} {REASONS[status]}\r\n{framing}"
         head += f"Content-Type: {kind}\r\n" if kind and body else ""
         head += extra + ("Connection: close\r\n" if last else "") + "\r\n"
-        body = b"" if isinstance(item, Request) and item.method == "HEAD" else body
+        body = b"" if isinstance(item, ReceivedRequest) and item.method == "HEAD" else body
         if rest is None:
             self._write(head.encode("latin-1") + body)
         else:
@@ -356,16 +390,16 @@
         self.serving = self.fresh = False
         self.item = None
         self.since = clock()
-        self.hall.rested(self)
+        self.http_server.rested(self)
         self._weigh()
         if not last and self.idle:
-            self._expect(self.since + KEEP_US, self._quiet)
+            self._expect(self.since + KEEP_ALIVE_US, self._quiet)
         return not last
 
-    def _pass_on(self, head: bytes, printed: Printed, chunked: bool) -> None:
+    def _pass_on(self, head: bytes, printed: NodeResponse, chunked: bool) -> None:
         """A large answer, as it comes. Where it breaks off the connection ends at once: the caller must be able to
         tell, and a second answer must never follow."""
-        rest, piece = printed.rest, printed.body
+        rest, piece = printed.body_stream, printed.body
         assert rest is not None
         self.rest = rest
         endless = printed.length is None and not chunked
@@ -373,7 +407,7 @@
             while piece:
                 self._write(head + (b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece))
                 head = b""
-                if (piece := rest.next()) is None:  # type: ignore[assignment]
+                if (piece := rest.read_chunk()) is None:  # type: ignore[assignment]
                     if endless:
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                     raise OSError("the answer broke off")
@@ -381,71 +415,81 @@
                 self._write(b"0\r\n\r\n")
         finally:
             self.rest = None
-            rest.leave()
+            rest.close()
 
-    def _reply(self, item: Request | Bad) -> tuple[int, str, bytes, str, Printed | None]:
+    def _reply(
+        self, item: ReceivedRequest | LocalResponse
+    ) -> tuple[int, str, bytes, str, NodeResponse | None]:
         """Status, further header lines, body and its type; and the answer itself where it is passed on as it comes."""
         try:
-            if isinstance(item, Request):
+            if isinstance(item, ReceivedRequest):
                 if item.target.partition("?")[0] == "/ready":
-                    item = self.hall.ready(item)
+                    item = self.http_server.ready(item)
                 else:
-                    checked = check(item, self.hall.plant)
-                    answer = checked if isinstance(checked, Bad) else self._job(item, *checked)
+                    checked = validate_request(item, self.http_server.config)
+                    answer = checked if isinstance(checked, LocalResponse) else self._job(item, *checked)
                     if isinstance(answer, Answer):
-                        return self._word(answer)
+                        return self._format_answer(answer)
                     item = answer
             extra = "Allow: GET, POST\r\n" if item.status == 405 else ""
-            return item.status, extra, item.text.encode() + b"\n", "text/plain", None
+            return item.status, extra, item.message.encode() + b"\n", "text/plain", None
         except Exception as problem:  # a caller is owed an answer, and no traceback
             self._fault("an order failed", problem)
             if self.job:
-                self.hall.desk.gone(self.job)
+                self.http_server.dispatcher.caller_disconnected(self.job)
                 self.job = None
             return 500, "", b"failed\n", "text/plain", None
 
-    def _job(self, request: Request, cls: int, account: int, deadline: int) -> Answer | Bad:
+    def _job(self, request: ReceivedRequest, cls: int, account: int, deadline: int) -> Answer | LocalResponse:
         headers = request.headers
         passed = tuple((name.title(), headers[name]) for name in PASSED_ON if name in headers)
-        order = Order(request.method, request.target, passed, request.body)
+        order = NodeRequest(request.method, request.target, passed, request.body)
         repeat = headers.get("x-retried") == "1"
-        promise = order_promise(request, self.hall.plant)
-        if isinstance(promise, Bad):
+        promise = intent_register_key(request, self.http_server.config)
+        if isinstance(promise, LocalResponse):
             return promise
         self.result = AsyncResult()
-        deadline -= self.hall.stalls.waited(request.read_at)
-        if self.hall.end:
-            deadline = self.hall.end.limit(deadline)
-        key = order_key(request, cls, account)
-        job = Job(headers["x-request-id"], cls, account, deadline - MARGIN_US, order, self, repeat, key)
-        job.promise = promise
+        deadline -= self.http_server.stall_detector.max_unread_us(request.received_us)
+        if self.http_server.shutdown:
+            deadline = self.http_server.shutdown.clamp_deadline(deadline)
+        key = request_fingerprint(request, cls, account)
+        job = Job(
+            headers["x-request-id"], cls, account, deadline - DELIVERY_MARGIN_US, order, self, repeat, key
+        )
+        job.intent_register = promise
         self.job = job  # before the desk, which may answer it at once
-        if not self.hall.desk.order(job):
+        if not self.http_server.dispatcher.submit(job):
             self.job = None
-            return Bad(409, "this X-Request-ID is still in hand", last=False)
+            return LocalResponse(409, "this X-Request-ID is still in hand", closes_connection=False)
         answer = self.result.get()
         self.job = None
         self.result = AsyncResult()  # the old one holds the answer
         assert answer is not None  # it waits without a limit; the desk sets one at every job's deadline
         return answer
 
-    def _word(self, answer: Answer) -> tuple[int, str, bytes, str, Printed | None]:
-        verdict = answer.verdict
-        if verdict is Verdict.SERVED and not isinstance(answer.printed, Printed):
-            verdict = Verdict.FAILED  # a floor that hands on something else
-        if verdict is Verdict.SERVED:
-            printed = answer.printed
-            return 200, "", printed.body, printed.kind, printed if printed.rest else None
-        wait = retry_after(answer)
-        return STATUS[verdict], f"Retry-After: {wait}\r\n" if wait else "", text(answer), "text/plain", None
+    def _format_answer(self, answer: Answer) -> tuple[int, str, bytes, str, NodeResponse | None]:
+        verdict = answer.status
+        if verdict is AnswerStatus.SERVED and not isinstance(answer.response, NodeResponse):
+            verdict = AnswerStatus.FAILED  # a floor that hands on something else
+        if verdict is AnswerStatus.SERVED:
+            printed = answer.response
+            return 200, "", printed.body, printed.content_type, printed if printed.body_stream else None
+        wait = retry_after_value(answer)
+        return (
+            STATUS_CODES[verdict],
+            f"Retry-After: {wait}\r\n" if wait else "",
+            error_body(answer),
+            "text/plain",
+            None,
+        )
 
     def _write(self, data: bytes) -> None:
         """The whole answer; a caller that does not take it in time loses its connection."""
-        late = Alarm(clock() + TAKE_US, self.close)
+        late = Timer(clock() + RESPONSE_WRITE_TIMEOUT_US, self.close)
         try:
             self.sock.sendall(data)
         finally:
-            late.off()
+            late.cancel()
 
     def _part(self) -> None:
         """Ends the connection so that the last answer arrives: closing while unread bytes are left would reset it. What
@@ -453,48 +497,52 @@
         if self.closed:
             return
         self.reader.kill()
-        self.hall.deaf.discard(self)
+        self.http_server.deaf.discard(self)
         self._expect(clock() + LINGER_US, self.close)
         self.sock.shutdown(socket.SHUT_WR)
-        while self.sock.recv_into(self.hall.bin, len(self.hall.bin), socket.MSG_TRUNC):
+        while self.sock.recv_into(self.http_server.bin, len(self.http_server.bin), socket.MSG_TRUNC):
             gevent.sleep(PACE_S)
 
 
-class OrderHall:
+class HttpServer:
     """The listener and all screens."""
 
-    def __init__(self, plant: Plant, desk: DeskDriver, most: int, room: int) -> None:
-        self.plant = plant
-        self.desk = desk
-        self.most = most
-        self.room = room  # bytes of requests in hand
-        self.weight = 0
-        self.ahead = 0  # of these, bytes that nobody has read yet
-        self.freed = Bell()  # some of it
-        self.in_line: deque[OrderScreen] = deque()  # who waits for room, in turn
-        self.deaf: set[OrderScreen] = set()  # whose reader stands still
+    def __init__(self, plant: ProxyConfig, desk: DispatcherDriver, most: int, room: int) -> None:
+        self.config = plant
+        self.dispatcher = desk
+        self.max_connections = most
+        self.memory_limit = room  # bytes of requests in hand
+        self.bytes_held = 0
+        self.bytes_read_ahead = 0  # of these, bytes that nobody has read yet
+        self.memory_released = Bell()  # some of it
+        self.in_line: deque[CallerConnection] = deque()  # who waits for room, in turn
+        self.deaf: set[CallerConnection] = set()  # whose reader stands still
         self.some_deaf = Bell()
         self.bin = bytearray(256 * 1024)
-        self.end: PlannedStop | None = None
+        self.shutdown: ShutdownSchedule | None = None
         self.drain = Drain()
-        self.taken_over = Drain(TAKEN_OVER_US)  # another process has the door
-        self.pace = Door(DoorTerms())
-        self.stalls = Stalls(BEGAN)
-        self.opened = False
-        self.screens: OrderedDict[OrderScreen, None] = OrderedDict()  # the one that rested longest first
-
-    def open(self, listener: Any = None) -> None:
+        self.taken_over = Drain(HANDOVER_IDLE_GRACE_US)  # another process has the door
+        self.pace = AcceptLimiter(AcceptLimiterConfig())
+        self.stall_detector = StallDetector(PROCESS_STARTED_US)
+        self.started = False
+        self.connections: OrderedDict[CallerConnection, None] = (
+            OrderedDict()
+        )  # the one that rested longest first
+
+    def start(self, listener: Any = None) -> None:
         """`listener`: another process's, which has the same queue."""
-        self.listener = listener or self.bind(self.plant.listen)
+        self.listener = listener or self.bind(self.config.listen)
         if listener:
-            self.stalls = Stalls(clock())  # until now the other process took what came
-        self.stalls.beat(clock())  # the start is over: what waited for it is read within the next moments
-        self.opened = True
+            self.stall_detector = StallDetector(clock())  # until now the other process took what came
+        self.stall_detector.heartbeat(
+            clock()
+        )  # the start is over: what waited for it is read within the next moments
+        self.started = True
         self.heart = gevent.spawn(self._beat)
         self.ear = gevent.spawn(self._listen)
-        self.door = gevent.spawn(self._accept)
+        self.acceptor = gevent.spawn(self._accept)
 
-    def unheard(self, screen: OrderScreen) -> None:
+    def unheard(self, screen: CallerConnection) -> None:
         """From now on its reader stands still."""
         self.deaf.add(screen)
         self.some_deaf.set()
@@ -510,9 +558,9 @@
                 self.some_deaf.clear()
 
     @staticmethod
-    def _hear(screen: OrderScreen) -> None:
+    def _hear(screen: CallerConnection) -> None:
         try:
-            screen.take_ahead()
+            screen.read_ahead()
             if screen.gone:
                 screen.close()
         except OSError:  # reset
@@ -520,82 +568,86 @@
 
     def _beat(self) -> None:
         while True:
-            gevent.sleep(BEAT_US / 1e6)
-            self.stalls.beat(clock())
+            gevent.sleep(HEARTBEAT_INTERVAL_US / 1e6)
+            self.stall_detector.heartbeat(clock())
 
     def bind(self, place: Address) -> Any:
-        return listen(place, shared=self.plant.mgmt is not None)
+        return listen(place, shared=self.config.mgmt is not None)
 
-    def resettle(self, plant: Plant, most: int, room: int, listener: Any) -> None:
+    def apply_settings(self, plant: ProxyConfig, most: int, room: int, listener: Any) -> None:
         """New settings; screens stay, and what they take in from now on is checked by these. A listener, where there
         is one, takes the place of the old, whose queue is emptied first."""
-        self.plant = plant
-        self.most = most
-        self.room = room
+        self.config = plant
+        self.max_connections = most
+        self.memory_limit = room
         if listener:
-            self.door.kill()
-            if not self.taken_over.on:
-                self._last_call()
+            self.acceptor.kill()
+            if not self.taken_over.active:
+                self._accept_backlog()
             self.listener.close()
             self.listener = listener
-            self.door = gevent.spawn(self._accept)
+            self.acceptor = gevent.spawn(self._accept)
 
-    def ready(self, request: Request) -> Bad:
+    def ready(self, request: ReceivedRequest) -> LocalResponse:
         if request.method not in ("GET", "HEAD"):
-            return Bad(405, "this path takes GET", last=False)
-        if self.drain.on:
-            return Bad(503, "drained", last=False)
-        up = self.opened and (not self.end or self.taken_over.on)
-        return Bad(200, "ready", last=False) if up else Bad(503, "stopping", last=False)
+            return LocalResponse(405, "this path takes GET", closes_connection=False)
+        if self.drain.active:
+            return LocalResponse(503, "drained", closes_connection=False)
+        up = self.started and (not self.shutdown or self.taken_over.active)
+        return (
+            LocalResponse(200, "ready", closes_connection=False)
+            if up
+            else LocalResponse(503, "stopping", closes_connection=False)
+        )
 
     @property
     def serving(self) -> bool:
         """Whether this process takes what comes; a drain does not change that."""
-        return self.opened and self.listener.fileno() >= 0
+        return self.started and self.listener.fileno() >= 0
 
-    def fail(self) -> None:
+    def start_drain(self) -> None:
         """An operator drains: what comes is still taken and answered, but nobody is asked to stay."""
-        if not self.drain.on:
-            self.drain.fail(clock())
+        if not self.drain.active:
+            self.drain.start(clock())
             gevent.spawn(self._let_go, self.drain)
 
-    def ok(self) -> None:
-        self.drain.ok()
+    def end_drain(self) -> None:
+        self.drain.cancel()
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         """Another process has the door; the listener is shared with it, and nothing in its queue is lost."""
-        if not self.taken_over.on:
-            self.door.kill()
-            self.taken_over.fail(clock())
+        if not self.taken_over.active:
+            self.acceptor.kill()
+            self.taken_over.start(clock())
             gevent.spawn(self._let_go, self.taken_over)
 
     def resume(self) -> None:
         """That process has gone."""
-        self.taken_over.ok()
-        if not self.end:
-            self.door = gevent.spawn(self._accept)
+        self.taken_over.cancel()
+        if not self.shutdown:
+            self.acceptor = gevent.spawn(self._accept)
 
     def _let_go(self, drain: Drain) -> None:
-        told = drain.told
-        while drain.told == told:
+        told = drain.started_at
+        while drain.started_at == told:
             now = clock()
-            for screen in list(self.screens):
-                if screen.idle and drain.lets_go(now, screen.since, screen.fresh) and screen.quiet:
+            for screen in list(self.connections):
+                if screen.idle and drain.should_close_idle(now, screen.since, screen.fresh) and screen.quiet:
                     screen.close()
             gevent.sleep(0.02)
 
-    def rested(self, screen: OrderScreen) -> None:
-        if screen in self.screens:
-            self.screens.move_to_end(screen)
+    def rested(self, screen: CallerConnection) -> None:
+        if screen in self.connections:
+            self.connections.move_to_end(screen)
 
-    def leave(self, screen: OrderScreen) -> None:
-        self.screens.pop(screen, None)
+    def remove(self, screen: CallerConnection) -> None:
+        self.connections.pop(screen, None)
         self.deaf.discard(screen)
 
     def _let_in(self, sock: Any) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.screens[OrderScreen(self, sock)] = None
-        self.desk.connected()
+        self.connections[CallerConnection(self, sock)] = None
+        self.dispatcher.connection_opened()
 
     def _accept(self) -> None:
         while True:
@@ -604,80 +656,86 @@
                 # once, as it may have sent a whole request already.
                 socket.wait_read(self.listener.fileno())
                 self._hold_back()
-                while len(self.screens) >= self.most and not self._make_room():
+                while len(self.connections) >= self.max_connections and not self._evict_connection():
                     gevent.sleep(0.02)  # all are at work; who comes next waits in the kernel's queue
                 self._let_in(self.listener.accept()[0])
             except OSError as problem:
                 if self.listener.fileno() < 0:
                     return
-                if problem.errno in OUT_OF_FILES:
+                if problem.errno in RESOURCE_EXHAUSTED_ERRNOS:
                     # accept fails at once and again while no descriptor is free: it must not spin.
-                    say("sockets", f"cannot accept: {problem}", "error")
-                    self._make_room()
+                    log_event("sockets", f"cannot accept: {problem}", "error")
+                    self._evict_connection()
                     gevent.sleep(0.05)
                 continue
             gevent.sleep(0)  # a crowd at the door must not keep those inside from being read
 
     def _hold_back(self) -> None:
         """A crowd at the door waits in the kernel's queue, so that those inside are answered."""
-        while self.plant.operator.storms.pace and not self.pace.take(clock(), len(self.desk.ledger.names)):
+        while self.config.operator.storms.pace and not self.pace.acquire(
+            clock(), len(self.dispatcher.job_table.by_request_id)
+        ):
             due = self.pace.due()
             gevent.sleep(max(0, due - clock()) / 1e6 if due else 0)
 
-    def _make_room(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Closes a screen that nobody waits for: one that connected a while ago and said nothing; else the one that
         has rested longest between requests; else a new one; else one whose request is not whole, and so not taken
         yet. Callers that say nothing, or only a few bytes, must not keep the others out, nor take their connections
         from them."""
-        old = clock() - GREEN_US
-        idle = [s for s in self.screens if s.idle]
+        old = clock() - MIN_EVICTION_AGE_US
+        idle = [s for s in self.connections if s.idle]
         ranks = (
             (s for s in idle if s.fresh and s.since < old),
             (s for s in idle if not s.fresh),
             iter(idle),
         )
         spare = next((s for rank in ranks for s in rank if s.quiet), None)
-        spare = spare or next((s for s in self.screens if not (s.idle or s.owed)), None)
+        spare = spare or next((s for s in self.connections if not (s.idle or s.owed)), None)
         if spare:
             spare.close()
         return spare is not None
 
     @property
     def parting(self) -> bool:
-        return self.drain.on or self.taken_over.on or (self.end is not None and self.end.parting(clock()))
+        return (
+            self.drain.active
+            or self.taken_over.active
+            or (self.shutdown is not None and self.shutdown.disconnecting(clock()))
+        )
 
     def stop(self) -> None:
         """A planned end: goes on serving whoever comes for as long as it does them good, then closes who is idle, and
         returns when every job in hand has been answered."""
-        self.end = self.desk.stop()
-        while self.screens or not (self.end.over(clock()) or self.taken_over.on):
+        self.shutdown = self.dispatcher.stop()
+        while self.connections or not (self.shutdown.finished(clock()) or self.taken_over.active):
             now = clock()
-            if self.end.parting(now):
-                self._see_off(now, self.end.over(now))
+            if self.shutdown.disconnecting(now):
+                self._close_idle(now, self.shutdown.finished(now))
                 self._shut()
             gevent.sleep(0.02)
         self._shut()
 
-    def _see_off(self, now: int, over: bool) -> None:
+    def _close_idle(self, now: int, over: bool) -> None:
         """Closes who rests, at a planned stop. What has come and was not read yet is read first, and answered: a close
         over it would reset the connection, and the last answer with it. `over`: nothing more is answered."""
-        for screen in list(self.screens):
+        for screen in list(self.connections):
             old = not screen.fresh or now - screen.since > NEWCOMER_US
             if screen.idle and old and (over or screen.quiet):
                 screen.close()
 
     def _shut(self) -> None:
         if self.listener.fileno() >= 0:
-            self.door.kill()
-            if not self.taken_over.on:
-                self._last_call()
+            self.acceptor.kill()
+            if not self.taken_over.active:
+                self._accept_backlog()
             self.listener.close()
 
-    def _last_call(self) -> None:
+    def _accept_backlog(self) -> None:
         """Takes in who is still in the kernel's queue: closing the listener would reset them unheard."""
         self.listener.setblocking(False)
         try:
-            while len(self.screens) < self.most:
+            while len(self.connections) < self.max_connections:
                 self._let_in(self.listener.accept()[0])
         except OSError:
             pass
--- a/slatehub/fronts/listener.py
+++ b/slatehub/fronts/listener.py
@@ -11,9 +11,9 @@
 BACKLOG = 1024
 
 
-def listen(place: Address, shared: bool = False) -> Any:
+def listen(address: Address, shared: bool = False) -> Any:
     """Bound and listening. `shared`: a second process may listen there too. OSError where it cannot be had."""
-    host, port = place
+    host, port = address
     listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/slatehub/handover/succession.py
+++ b/slatehub/handover/hot_restart.py
@@ -13,10 +13,10 @@
 import gevent
 from gevent import socket
 
-from ..observe.log import say
-from .link import Link, Tree
-from .place import place_of
-from .words import VERSION, BadWords, Words, pack
+from ..observe.log import log_event
+from .link import ProcessLink, Tree
+from .messages import VERSION, MessageDecoder, MessageError, pack
+from .paths import shared_path
 
 HELLO_S = 1.5  # for the old process to answer a new one; its loop may be busy
 ACK_S = 0.5  # for the other process to do what an operator asks: a caller waits 1 s
@@ -24,54 +24,54 @@
 LONGEST_PATH = 100  # of a Unix socket, by the system
 
 
-class Body(Protocol):
+class RestartHandler(Protocol):
     """The process, as its successor or predecessor sees it."""
 
-    def holds(self) -> Tree:
+    def export_state(self) -> Tree:
         """What goes along: JSON."""
 
-    def listener(self, listen: Any) -> Any:
+    def get_listener(self, listen: Any) -> Any:
         """The callers' listener, if it is the one for this address; else None."""
 
-    def do(self, tree: Tree) -> int:
+    def apply_operation(self, tree: Tree) -> int:
         """An operator's call that the other process has been given: the HTTP status."""
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         """The successor has the door."""
 
     def resume(self) -> None:
         """There is no successor any more."""
 
-    def two(self, linked: bool) -> None:
+    def set_shared(self, linked: bool) -> None:
         """Whether another process lives: what one proxy may hold is shared with it."""
 
 
 @dataclass(slots=True)
-class Estate:
+class InheritedState:
     """What a predecessor gave: its listener (None: listen for yourself) and what it holds."""
 
     listener: Any = None
-    holds: Tree = field(default_factory=dict)
+    state: Tree = field(default_factory=dict)
 
 
-class Succession:
-    def __init__(self, name: str, listen: Any, body: Body) -> None:
-        self.name, self.listen, self.body = name, list(listen), body
-        self.path = place_of(name, "sock")
-        self.before: Link | None = None  # to the process that was there
-        self.after: Link | None = None  # to the one that takes over
-        self.rests = False
+class HotRestart:
+    def __init__(self, name: str, listen: Any, body: RestartHandler) -> None:
+        self.name, self.listen, self.handler = name, list(listen), body
+        self.path = shared_path(name, "sock")
+        self.predecessor: ProcessLink | None = None  # to the process that was there
+        self.successor: ProcessLink | None = None  # to the one that takes over
+        self.suspended = False
         self.greeted = 0
         self.sock: Any = None
         self.greenlet: Any = None
 
     @property
-    def linked(self) -> bool:
-        return self.before is not None or self.after is not None
+    def is_connected(self) -> bool:
+        return self.predecessor is not None or self.successor is not None
 
     # ------------------------------------------------------------ the new process
 
-    def meet(self) -> Estate | None:
+    def connect_to_predecessor(self) -> InheritedState | None:
         """Asks a process that is already there; None where there is none that answers."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
@@ -79,24 +79,24 @@
                 sock.connect(_short(self.path))
                 sock.sendall(pack({"version": VERSION, "name": self.name, "listen": self.listen}))
                 _, fds, _, _ = socket.recv_fds(sock, 1, 1)
-                estate = Estate(socket.socket(fileno=fds[0]) if fds else None)
-                words = Words()
+                estate = InheritedState(socket.socket(fileno=fds[0]) if fds else None)
+                words = MessageDecoder()
                 trees = _first(sock, words)
-        except (OSError, BadWords, gevent.Timeout) as problem:
+        except (OSError, MessageError, gevent.Timeout) as problem:
             sock.close()
             if not isinstance(problem, FileNotFoundError | ConnectionRefusedError):
-                say("handover", f"the process that is there does not answer: {problem}", "warning")
+                log_event("handover", f"the process that is there does not answer: {problem}", "warning")
             return None
-        estate.holds = trees[0]
-        self.before = Link(sock, words, trees[1:], self._heard, self._ended)
-        self.body.two(True)
-        say("handover", "takes over from the process that is there")
+        estate.state = trees[0]
+        self.predecessor = ProcessLink(sock, words, trees[1:], self._heard, self._ended)
+        self.handler.set_shared(True)
+        log_event("handover", "takes over from the process that is there")
         return estate
 
-    def serve(self) -> None:
+    def announce_serving(self) -> None:
         """This process serves: the old one may let its door rest, and the next one will find this one."""
-        if self.before and self.before.ask({"serving": True}, HELLO_S) is None:
-            say("handover", "the process that was there did not hear that this one serves", "warning")
+        if self.predecessor and self.predecessor.request({"serving": True}, HELLO_S) is None:
+            log_event("handover", "the process that was there did not hear that this one serves", "warning")
         self._listen()
 
     def _listen(self) -> None:
@@ -109,7 +109,7 @@
             sock.listen(4)
             os.replace(own, self.path)
         except OSError as problem:
-            say("handover", f"a next process will not find this one: {problem}", "error")
+            log_event("handover", f"a next process will not find this one: {problem}", "error")
             sock.close()
             return
         self._hang_up()
@@ -133,7 +133,7 @@
                     return
                 gevent.sleep(0.05)
                 continue
-            if self.after or self.greeted >= MOST_GREETED:
+            if self.successor or self.greeted >= MOST_GREETED:
                 peer.close()  # one at a time
                 continue
             self.greeted += 1
@@ -143,73 +143,73 @@
         """In a greenlet of its own: one that connects and says nothing must not keep the next process waiting."""
         try:
             self._give(peer)
-        except (OSError, BadWords, gevent.Timeout) as problem:
-            say("handover", f"a process that wants to take over: {problem}", "warning")
+        except (OSError, MessageError, gevent.Timeout) as problem:
+            log_event("handover", f"a process that wants to take over: {problem}", "warning")
             peer.close()
         finally:
             self.greeted -= 1
 
     def _give(self, peer: Any) -> None:
-        words = Words()
+        words = MessageDecoder()
         with gevent.Timeout(HELLO_S):
             trees = _first(peer, words)
             hello = trees[0]
             if hello.get("version") != VERSION or hello.get("name") != self.name:
-                raise BadWords("of another version or name")
-            if self.after:
-                raise BadWords("another one takes over already")
-            door = self.body.listener(hello.get("listen"))
+                raise MessageError("of another version or name")
+            if self.successor:
+                raise MessageError("another one takes over already")
+            door = self.handler.get_listener(hello.get("listen"))
             if door is None:
                 peer.sendall(b"N")
             else:
                 socket.send_fds(peer, [b"L"], [door.fileno()])
             # From here on the other one hears of every call: what it holds must be what was true when the link opened.
-            peer.sendall(pack(self.body.holds()))
-        self.after = Link(peer, words, trees[1:], self._heard, self._ended)
-        self.body.two(True)
-        say("handover", "a new process takes over")
+            peer.sendall(pack(self.handler.export_state()))
+        self.successor = ProcessLink(peer, words, trees[1:], self._heard, self._ended)
+        self.handler.set_shared(True)
+        log_event("handover", "a new process takes over")
 
     # ------------------------------------------------------------ both
 
     def _heard(self, tree: Tree) -> Tree:
-        if tree.get("serving") is True and self.after:
-            self.rests = True
-            self.body.rest()
+        if tree.get("serving") is True and self.successor:
+            self.suspended = True
+            self.handler.suspend()
             self._hang_up()
             return {"ok": True}
-        return {"status": self.body.do(tree)}
-
-    def _ended(self, link: Link) -> None:
-        if link is self.before:
-            self.before = None
-            say("handover", "the old process has gone")
-        elif link is self.after:
-            self.after = None
-            say("handover", "the new process has gone", "warning")
-            if self.rests:
-                self.rests = False
-                self.body.resume()
+        return {"status": self.handler.apply_operation(tree)}
+
+    def _ended(self, link: ProcessLink) -> None:
+        if link is self.predecessor:
+            self.predecessor = None
+            log_event("handover", "the old process has gone")
+        elif link is self.successor:
+            self.successor = None
+            log_event("handover", "the new process has gone", "warning")
+            if self.suspended:
+                self.suspended = False
+                self.handler.resume()
                 self._listen()
-        if not self.linked:
-            self.body.two(False)
+        if not self.is_connected:
+            self.handler.set_shared(False)
 
-    def tell(self, tree: Tree) -> bool:
+    def forward_operation(self, tree: Tree) -> bool:
         """Whether the other process, where there is one, has done it too. One that does not know a node that is put
         back has nothing to do."""
-        for link in (self.before, self.after):
-            reply = link.ask(tree, ACK_S) if link else None
+        for link in (self.predecessor, self.successor):
+            reply = link.request(tree, ACK_S) if link else None
             status = reply.get("status") if reply else None
             if link and link.open and not (isinstance(status, int) and 200 <= status < 500):
                 return False
         return True
 
 
-def _first(sock: Any, words: Words) -> list[Tree]:
-    """What the other side says first. OSError and BadWords as usual."""
+def _first(sock: Any, words: MessageDecoder) -> list[Tree]:
+    """What the other side says first. OSError and MessageError as usual."""
     while data := sock.recv(65536):
         if trees := words.feed(data):
             return trees
-    raise BadWords("it has gone without a word")
+    raise MessageError("it has gone without a word")
 
 
 def _short(path: Path) -> str:
--- a/slatehub/handover/link.py
+++ b/slatehub/handover/link.py
@@ -10,35 +10,35 @@
 from gevent.event import AsyncResult
 from gevent.lock import BoundedSemaphore
 
-from ..observe.log import say, where
-from .words import BadWords, Words, pack
+from ..observe.log import error_location, log_event
+from .messages import MessageDecoder, MessageError, pack
 
 Tree = dict[str, Any]
 
 
-class Link:
+class ProcessLink:
     """`heard` answers a question; `ended` is rung once, when the other side has gone or talks nonsense. `early`: what
     came with the first words."""
 
     def __init__(
         self,
         sock: Any,
-        words: Words,
+        words: MessageDecoder,
         early: list[Tree],
         heard: Callable[[Tree], Tree],
-        ended: Callable[[Link], None],
+        ended: Callable[[ProcessLink], None],
     ) -> None:
         self.sock = sock
         self.words = words
-        self.heard = heard
-        self.ended = ended
+        self.on_request = heard
+        self.on_closed = ended
         self.open = True
         self.last = 0
         self.asked: dict[int, AsyncResult[Tree | None]] = {}
         self.turn = BoundedSemaphore()  # two lines at once would mix
         self.greenlet = gevent.spawn(self._read, early)
 
-    def ask(self, tree: Tree, limit_s: float) -> Tree | None:
+    def request(self, tree: Tree, limit_s: float) -> Tree | None:
         """What the other side answers; None where it does not in time, or has gone."""
         if not self.open:
             return None
@@ -64,10 +64,15 @@
             self._take(early)
             while data := self.sock.recv(65536):
                 self._take(self.words.feed(data))
-        except (OSError, BadWords) as problem:
-            say("handover", f"the other process: {problem}", "warning")
+        except (OSError, MessageError) as problem:
+            log_event("handover", f"the other process: {problem}", "warning")
         except Exception as problem:
-            say("fault", f"handover: {type(problem).__name__}: {problem}", "error", where=where(problem))
+            log_event(
+                "fault",
+                f"handover: {type(problem).__name__}: {problem}",
+                "error",
+                where=error_location(problem),
+            )
         finally:
             self.close()
 
@@ -82,9 +87,11 @@
 
     def _answer(self, tree: Tree) -> None:
         try:
-            reply = self.heard(tree)
+            reply = self.on_request(tree)
         except Exception as problem:  # the other side is owed an answer: a caller waits for it
-            say("handover", f"a call from the other process: {type(problem).__name__}: {problem}", "error")
+            log_event(
+                "handover", f"a call from the other process: {type(problem).__name__}: {problem}", "error"
+            )
             reply = {"status": 500}
         try:
             self._send(reply | {"re": tree.get("n")})
@@ -100,4 +107,4 @@
         if self.greenlet is not gevent.getcurrent():
             self.greenlet.kill(block=False)
         self.sock.close()
-        self.ended(self)
+        self.on_closed(self)
--- a/slatehub/handover/words.py
+++ b/slatehub/handover/messages.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 VERSION = 1
-LARGEST = 2 * 1024 * 1024  # a line: every id that may be out by hand, at its longest
+MAX_LINE_BYTES = 2 * 1024 * 1024  # a line: every id that may be out by hand, at its longest
 
 
-class BadWords(Exception):
+class MessageError(Exception):
     """The other side does not speak this."""
 
 
@@ -18,17 +18,17 @@
     return json.dumps(tree, separators=(",", ":")).encode() + b"\n"
 
 
-class Words:
+class MessageDecoder:
     """Cuts what comes into objects."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that are whole now. BadWords."""
+        """The objects that are whole now. MessageError."""
         self.data += data
-        if len(self.data) > LARGEST:
-            raise BadWords("too long")
+        if len(self.data) > MAX_LINE_BYTES:
+            raise MessageError("too long")
         *lines, rest = bytes(self.data).split(b"\n") if b"\n" in data else [bytes(self.data)]
         self.data = bytearray(rest)
         return [_tree(line) for line in lines]
@@ -38,7 +38,7 @@
     try:
         tree = json.loads(line)
     except (ValueError, RecursionError):
-        raise BadWords("not JSON") from None
+        raise MessageError("not JSON") from None
     if not isinstance(tree, dict):
-        raise BadWords("not an object")
+        raise MessageError("not an object")
     return tree
--- a/slatehub/mgmt/state.py
+++ b/slatehub/mgmt/state.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from ..decisions.maintenance import Maintenance
-from ..handover.place import place_of
-from ..observe.log import say
+from ..handover.paths import shared_path
+from ..observe.log import log_event
 
 VERSION = 1
 LARGEST = 2 * 1024 * 1024
@@ -17,7 +17,7 @@
 
 class StateFile:
     def __init__(self, name: str) -> None:
-        self.path = place_of(name, "nodes")
+        self.path = shared_path(name, "nodes")
 
     def load(self, into: Maintenance) -> None:
         """Takes over what an earlier process of this name left, if anything can be made of it."""
@@ -33,22 +33,24 @@
         except FileNotFoundError:
             return
         except (OSError, ValueError, RecursionError) as problem:
-            say("operator", f"nodes out by hand: {self.path.name} is left aside: {problem}", "error")
+            log_event("operator", f"nodes out by hand: {self.path.name} is left aside: {problem}", "error")
             return
         into.restore(out, back)
-        if into.out:
-            say("operator", f"out by hand, from an earlier process: {len(into.out)} nodes", "warning")
+        if into.started_at:
+            log_event(
+                "operator", f"out by hand, from an earlier process: {len(into.started_at)} nodes", "warning"
+            )
 
     def save(self, held: Maintenance) -> None:
         """Whole or not at all. A file that cannot be written costs the next process this one's memory only if nobody
         lives to tell it."""
-        body = json.dumps({"version": VERSION, "out": held.out, "back": dict(held.back)})
+        body = json.dumps({"version": VERSION, "out": held.started_at, "back": dict(held.ended_at)})
         new = self.path.with_suffix(f".{os.getpid()}")
         try:
             new.write_text(body)
             os.replace(new, self.path)
         except OSError as problem:
-            say("operator", f"nodes out by hand cannot be kept in {self.path.name}: {problem}", "error")
+            log_event("operator", f"nodes out by hand cannot be kept in {self.path.name}: {problem}", "error")
             try:
                 new.unlink(missing_ok=True)
             except OSError:
--- a/slatehub/observe/log.py
+++ b/slatehub/observe/log.py
@@ -13,11 +13,13 @@
 
 from logfmter import Logfmter
 
-from .outlet import Outlet
+from .nonblocking_writer import NonBlockingWriter
 
-LINE = 4096  # bytes of a whole line with its end: PIPE_BUF, so that a pipe never takes a part of one
-FIELD, NAME = 200, 40  # characters of a value and of a name
-FIELDS, TOPICS = 16, 100
+MAX_LINE_BYTES = (
+    4096  # bytes of a whole line with its end: PIPE_BUF, so that a pipe never takes a part of one
+)
+MAX_VALUE_CHARS, NAME = 200, 40  # characters of a value and of a name
+FIELDS, MAX_TOPICS = 16, 100
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 OTHERS = "others"  # where there are more topics than that
 
@@ -31,7 +33,7 @@
 FORMS: dict[str, Callable[[Line], str]] = {"logfmt": Logfmter.format_params, "json": _json}
 
 
-def plain(text: str, longest: int) -> str:
+def sanitize(text: str, longest: int) -> str:
     """At most so many characters. What does not print is written as Python escapes it: it could end the line, move the
     cursor of a terminal, or turn the text's direction."""
     cut = text[: longest + 1]
@@ -51,10 +53,10 @@
         return value
     if isinstance(value, float) and math.isfinite(value):
         return value
-    return plain(str(value), FIELD)
+    return sanitize(str(value), MAX_VALUE_CHARS)
 
 
-def where(problem: BaseException | None) -> str:
+def error_location(problem: BaseException | None) -> str:
     """The place in the program at which it was raised."""
     trace = problem.__traceback__ if problem else None
     while trace and trace.tb_next:
@@ -65,7 +67,7 @@
     return f"{'/'.join(code.co_filename.split('/')[-2:])}:{trace.tb_lineno}"
 
 
-class Gate:
+class TopicLimit:
     """How many lines a topic may still write, when that was counted, and how many were held back since the last."""
 
     __slots__ = ("at", "left", "suppressed")
@@ -76,7 +78,7 @@
         self.suppressed = 0
 
 
-class Log:
+class EventLog:
     """`write` takes a whole line or says that it cannot, and never waits. `clock` counts seconds; `wall` nanoseconds of
     the time of day."""
 
@@ -89,11 +91,11 @@
         self.write = write
         self.clock = clock
         self.wall = wall
-        self.gates: dict[str, Gate] = {}
+        self.topic_limits: dict[str, TopicLimit] = {}
         self.lost = 0  # lines that could not be written since the last that was
-        self.settle()
+        self.configure()
 
-    def settle(
+    def configure(
         self,
         format: str = "logfmt",
         level: str = "info",
@@ -108,7 +110,7 @@
         self.per_s, self.burst, self.longest = per_topic_per_s, burst, longest
         self.bound = {_name(key): _value(value) for key, value in bound.items()}
 
-    def say(self, topic: str, text: str, /, level: str = "info", **fields: Any) -> None:
+    def log_event(self, topic: str, text: str, /, level: str = "info", **fields: Any) -> None:
         """One line, unless its level is below what is written or its topic has had its share. Topics are literals: they
         are few. Fields that are None or "" are left out."""
         try:
@@ -122,13 +124,13 @@
         except Exception:
             self.lost += 1  # something that cannot even be printed was to be told: no reason to stop serving
 
-    def _gate(self, topic: str) -> Gate:
-        if topic not in self.gates:
-            topic = topic if len(self.gates) < TOPICS else OTHERS
-            self.gates.setdefault(topic, Gate(self.burst, self.clock()))
-        return self.gates[topic]
+    def _gate(self, topic: str) -> TopicLimit:
+        if topic not in self.topic_limits:
+            topic = topic if len(self.topic_limits) < MAX_TOPICS else OTHERS
+            self.topic_limits.setdefault(topic, TopicLimit(self.burst, self.clock()))
+        return self.topic_limits[topic]
 
-    def _may_pass(self, gate: Gate) -> bool:
+    def _may_pass(self, gate: TopicLimit) -> bool:
         now = self.clock()
         gate.left = min(self.burst, gate.left + (now - gate.at) * self.per_s)
         gate.at = now
@@ -139,8 +141,8 @@
         return True
 
     def _line(self, topic: str, text: str, level: str, fields: Line, suppressed: int) -> bytes:
-        line: Line = {"time": self._time(), "level": level, "topic": plain(topic, NAME), "msg": ""}
-        line["msg"] = plain(text, self.longest)
+        line: Line = {"time": self._time(), "level": level, "topic": sanitize(topic, NAME), "msg": ""}
+        line["msg"] = sanitize(text, self.longest)
         line |= {key: count for key, count in (("suppressed", suppressed), ("lost", self.lost)) if count}
         line |= self.bound
         own = len(line)
@@ -156,8 +158,8 @@
 
     def _fitted(self, line: Line, own: int) -> bytes:
         """The line in bytes. One too long loses the second half of a long text, then its last fields."""
-        while len(data := self.form(line).encode("utf-8", "backslashreplace") + b"\n") > LINE:
-            if len(line["msg"]) > FIELD or (line["msg"] and len(line) <= own):
+        while len(data := self.form(line).encode("utf-8", "backslashreplace") + b"\n") > MAX_LINE_BYTES:
+            if len(line["msg"]) > MAX_VALUE_CHARS or (line["msg"] and len(line) <= own):
                 line["msg"] = line["msg"][: len(line["msg"]) // 2]
             else:
                 line.popitem()
@@ -165,6 +167,6 @@
 
 
 # Standard error as it was at the start. Were it closed then, its number would soon be that of a connection.
-_log = Log(Outlet(2 if sys.stderr is not None else -1))
-say = _log.say
-settle = _log.settle
+_log = EventLog(NonBlockingWriter(2 if sys.stderr is not None else -1))
+log_event = _log.log_event
+configure = _log.configure
--- a/slatehub/observe/outlet.py
+++ b/slatehub/observe/nonblocking_writer.py
@@ -14,7 +14,7 @@
 Put = Callable[[bytes], int]  # bytes taken; OSError where none can be now
 
 
-class Outlet:
+class NonBlockingWriter:
     """Called with a whole line of at most PIPE_BUF bytes: whether it was taken. A pipe takes such a line whole or not
     at all (pipe(7)); of what else takes a part, the rest goes out before the next line."""
 
@@ -49,11 +49,11 @@
             own = os.open(f"/proc/self/fd/{fd}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY)
             return partial(os.write, own)
         except OSError:  # it belongs to another user, or its reader has gone
-            return partial(_polled, fd)
+            return partial(_write_if_ready, fd)
     return partial(os.write, fd)
 
 
-def _polled(fd: int, data: bytes) -> int:
+def _write_if_ready(fd: int, data: bytes) -> int:
     """Writes only where there is room for a whole line. May block after all where others fill the same pipe between the
     two calls."""
     poll = select.poll()
--- a/slatehub/observe/recorder.py
+++ b/slatehub/observe/recorder.py
@@ -19,9 +19,9 @@
 from paddlestep.interface import Action, Event
 
 from . import flight
-from .log import say
+from .log import log_event
 
-MOST_BYTES = 8 * 1024 * 1024  # of the batches of one generation
+MAX_GENERATION_BYTES = 8 * 1024 * 1024  # of the batches of one generation
 FAULTS_EVERY_S = 60.0  # between two files for faults: one that comes again must not push out the first one's
 About = tuple[str, int, str, str]  # proxy, tier, version, SHA-256 of the module's text as it was loaded
 LEFTOVER_S = 600.0  # an unfinished file of ours that is older will never be finished
@@ -33,7 +33,7 @@
     def __init__(self, state: bytes) -> None:
         self.state = state
         self.batches: list[bytes] = []
-        self.weight = 0
+        self.size_bytes = 0
         self.first = self.last = 0
 
 
@@ -52,8 +52,8 @@
         newer.first = newer.first or now
         newer.last = now
         newer.batches.append(batch)
-        newer.weight += len(batch)
-        return len(newer.batches) * 2 >= self.most or newer.weight >= MOST_BYTES
+        newer.size_bytes += len(batch)
+        return len(newer.batches) * 2 >= self.most or newer.size_bytes >= MAX_GENERATION_BYTES
 
     def begin(self, state: bytes) -> None:
         self.older, self.newer = self.newer, Generation(state)
@@ -71,14 +71,14 @@
     ) -> None:
         self.balancer = balancer
         self.nodes = nodes
-        self.writer = flight.Writer()
+        self.encoder = flight.Writer()
         self.ring: Ring | None = Ring(batches, flight.freeze(balancer()))
         self.about: About = ("", 0, "", "")
         self.folder, self.keep = "", 1
         self.faulted = -FAULTS_EVERY_S
-        self.busy: gevent.Greenlet[..., None] | None = None
+        self.write_greenlet: gevent.Greenlet[..., None] | None = None
 
-    def settle(self, about: About, batches: int, folder: str, keep: int) -> None:
+    def configure(self, about: About, batches: int, folder: str, keep: int) -> None:
         """Terms that may change while it runs; what has been recorded stays."""
         self.about, self.folder, self.keep = about, folder, keep
         if self.ring:
@@ -86,20 +86,22 @@
 
     # ------------------------------------------------------------ what the desk tells
 
-    def batch(self, now: int, names: list[str], events: list[Event], actions: list[Action] | None) -> None:
+    def record_batch(
+        self, now: int, names: list[str], events: list[Event], actions: list[Action] | None
+    ) -> None:
         if self.ring is None:
             return
         try:
-            full = self.ring.add(now, self.writer.batch(now, names, events, actions))
+            full = self.ring.add(now, self.encoder.batch(now, names, events, actions))
             if full and actions is not None:  # a module that has failed is nothing to go on from
                 self.ring.begin(flight.freeze(self.balancer()))
         except Exception as problem:
             self._end(problem)
 
-    def fault(self, problem: Exception) -> None:
+    def record_fault(self, problem: Exception) -> None:
         now = time.monotonic()
         if now - self.faulted < FAULTS_EVERY_S:
-            say("recorder", "a further fault within a minute: no file for it", "warning")
+            log_event("recorder", "a further fault within a minute: no file for it", "warning")
         elif self.write("fault", f"{type(problem).__name__}: {problem}"[:400]):
             self.faulted = now
         try:
@@ -110,32 +112,32 @@
 
     def _end(self, problem: Exception) -> None:
         self.ring = None
-        say("recorder", f"has failed and is off: {type(problem).__name__}: {problem}", "error")
+        log_event("recorder", f"has failed and is off: {type(problem).__name__}: {problem}", "error")
 
     # ------------------------------------------------------------ files
 
     def write(self, reason: str, problem: str = "") -> bool:
         """Has all that is in the ring written, by a thread; the hub only hands it over. False where it cannot."""
         if self.ring is None:
-            say("recorder", "has failed before and is off: nothing to write", "error")
-        elif self.busy:
-            say("recorder", f"still at the last file: none for {reason}", "warning")
+            log_event("recorder", "has failed before and is off: nothing to write", "error")
+        elif self.write_greenlet:
+            log_event("recorder", f"still at the last file: none for {reason}", "warning")
         else:
             now = datetime.now(UTC)
             head, pieces = self._contents(self.ring.generations(), now, reason, problem)
             name = f"{_safe(head.proxy)}-{now:%Y%m%dT%H%M%S.%fZ}-{reason}.flight"
-            self.busy = gevent.spawn(self._written, name, head, pieces)
+            self.write_greenlet = gevent.spawn(self._written, name, head, pieces)
             return True
         return False
 
     def finish(self, on_stop: bool, patience_s: float = 10.0) -> None:
         """At the program's end: a file of all if wanted, and no more waiting for a disk than that."""
-        if self.busy:
-            self.busy.join(patience_s)
+        if self.write_greenlet:
+            self.write_greenlet.join(patience_s)
         if on_stop:
             self.write("stop")
-        if self.busy:
-            self.busy.join(patience_s)
+        if self.write_greenlet:
+            self.write_greenlet.join(patience_s)
 
     def _contents(
         self, parts: list[Generation], now: datetime, reason: str, problem: str
@@ -154,11 +156,13 @@
         told: dict[str, Any] = {"file": path, "reason": head.reason, "batches": head.batches}
         try:
             size = gevent.get_hub().threadpool.apply(save, (self.folder, name, pieces, own, self.keep))
-            say("recorder", "a recording has been written", bytes=size, **told)
+            log_event("recorder", "a recording has been written", bytes=size, **told)
         except Exception as problem:
-            say("recorder", f"cannot write a recording: {type(problem).__name__}: {problem}", "error", **told)
+            log_event(
+                "recorder", f"cannot write a recording: {type(problem).__name__}: {problem}", "error", **told
+            )
         finally:
-            self.busy = None
+            self.write_greenlet = None
 
 
 def _safe(name: str) -> str:
--- a/slatehub/settings/keys.py
+++ b/slatehub/settings/key_file.py
@@ -9,7 +9,7 @@
 import stat
 from typing import NamedTuple
 
-MOST = 2  # keys valid at once
+MAX_KEYS = 2  # keys valid at once
 ID_LONG, KEY_LONG = 8, 64  # hexadecimal digits
 LARGEST = 4096
 
@@ -19,7 +19,7 @@
 
 
 class Key(NamedTuple):
-    ident: bytes  # 4 bytes, in clear on each datagram
+    key_id: bytes  # 4 bytes, in clear on each datagram
     secret: bytes  # 32 bytes
 
 
@@ -45,9 +45,9 @@
         raise KeyFileError(
             f"each line must hold an id of {ID_LONG} and a key of {KEY_LONG} hex digits"
         ) from None
-    if not 0 < len(keys) <= MOST:
-        raise KeyFileError(f"must hold 1 to {MOST} keys")
-    if len({key.ident for key in keys}) < len(keys):
+    if not 0 < len(keys) <= MAX_KEYS:
+        raise KeyFileError(f"must hold 1 to {MAX_KEYS} keys")
+    if len({key.key_id for key in keys}) < len(keys):
         raise KeyFileError("two keys have the same id")
     return keys
 
@@ -67,8 +67,8 @@
     """Adds a new key, to sign with (`first`) or to be valid beside the one that signs; makes the file where there is
     none. How many there are now. KeyFileError where there is no room; the file is put in place whole."""
     lines = _lines(path) if os.path.exists(path) else []
-    if len(lines) >= MOST:
-        raise KeyFileError(f"holds {MOST} keys already; take the old one out first")
+    if len(lines) >= MAX_KEYS:
+        raise KeyFileError(f"holds {MAX_KEYS} keys already; take the old one out first")
     lines = [made(), *lines] if first else [*lines, made()]
     _put(path, lines)
     return len(lines)
@@ -85,7 +85,7 @@
 
 
 def _lines(path: str) -> list[str]:
-    return [f"{key.ident.hex()} {key.secret.hex()}\n" for key in read(path)]
+    return [f"{key.key_id.hex()} {key.secret.hex()}\n" for key in read(path)]
 
 
 def _put(path: str, lines: list[str]) -> None:
--- a/slatehub/settings/operator.py
+++ b/slatehub/settings/operator.py
@@ -1,8 +1,8 @@
 """The operator's own file: TOML, named by `--operator` or SLATEHUB_OPERATOR. This file owns its tables, their keys,
 defaults and bounds. It must never guess: an unknown key is an error, and every error names the file and the key.
 
-A further table is a dataclass like those below and a line in `Operator`. Each field's rule checks one value; `check`
-sees the whole table."""
+A further table is a dataclass like those below and a line in `OperatorConfig`. Each field's rule checks one value;
+`check` sees the whole table."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 Rule = Callable[[Any], Any]  # the value as it is kept; ValueError says what is wrong with it
 
 
-class Wrong(ValueError):
+class InvalidSettingError(ValueError):
     """A value that is wrong only beside others."""
 
     def __init__(self, key: str, text: str) -> None:
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogTerms:
+class LogConfig:
     """[log]"""
 
     format: str = one_of("logfmt", "json")
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecorderTerms:
+class RecorderConfig:
     """[recorder]"""
 
     batches: int = number(0, 0, 100_000, whole=True)  # kept in memory; 0: off
@@ -153,18 +153,20 @@
         if not self.batches:
             return
         if not self.folder:
-            raise Wrong("folder", "must be named while batches is not 0")
+            raise InvalidSettingError("folder", "must be named while batches is not 0")
         if not os.path.isdir(self.folder):
-            raise Wrong("folder", f"no such folder: {self.folder!r}")
+            raise InvalidSettingError("folder", f"no such folder: {self.folder!r}")
         _try(self.folder)
         from importlib.util import find_spec
 
         if not find_spec("msgspec"):
-            raise Wrong("batches", "needs msgspec, which is not installed: pip install 'slatehub[recorder]'")
+            raise InvalidSettingError(
+                "batches", "needs msgspec, which is not installed: pip install 'slatehub[recorder]'"
+            )
 
 
 @dataclass(frozen=True, slots=True)
-class StormTable:
+class StormsConfig:
     """[storms]"""
 
     watch: bool = flag(True)  # say in the log when a storm begins and ends
@@ -175,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetTable:
+class FleetConfig:
     """[fleet]. Off while `listen` is not set."""
 
     listen: tuple[str, int] | None = place()  # UDP, for other proxies of this tier
@@ -196,25 +198,27 @@
             return
         for key in ("name", "key_file"):
             if not getattr(self, key):
-                raise Wrong(key, "must be set while listen is")
+                raise InvalidSettingError(key, "must be set while listen is")
         from importlib.util import find_spec
 
         if not find_spec("msgspec"):
-            raise Wrong("listen", "needs msgspec, which is not installed: pip install 'slatehub[fleet]'")
-        self.keys()
+            raise InvalidSettingError(
+                "listen", "needs msgspec, which is not installed: pip install 'slatehub[fleet]'"
+            )
+        self.read_keys()
 
-    def keys(self) -> Any:
-        """The keys of the file, the signing one first, as they are now. Wrong."""
-        from .keys import KeyFileError, read
+    def read_keys(self) -> Any:
+        """The keys of the file, the signing one first, as they are now. InvalidSettingError."""
+        from .key_file import KeyFileError, read
 
         try:
             return read(self.key_file)
         except KeyFileError as problem:
-            raise Wrong("key_file", f"{self.key_file!r}: {problem}") from None
+            raise InvalidSettingError("key_file", f"{self.key_file!r}: {problem}") from None
 
 
 @dataclass(frozen=True, slots=True)
-class CopiesTable:
+class CopiesConfig:
     """[copies]. Off while `voters` names none; without a `folder` this proxy asks the voters, and does not vote."""
 
     folder: str = text("", 1000)  # of this proxy alone, on a disk that lasts
@@ -229,19 +233,21 @@
 
     def check(self) -> None:
         if self.folder and not self.voters:
-            raise Wrong("voters", "must be set while folder is")
+            raise InvalidSettingError("voters", "must be set while folder is")
         if not self.voters:
             return
         if self.folder and not os.path.isdir(self.folder):
-            raise Wrong("folder", f"no such folder: {self.folder!r}")
+            raise InvalidSettingError("folder", f"no such folder: {self.folder!r}")
         from importlib.util import find_spec
 
         if not find_spec("crc32c"):
-            raise Wrong("voters", "needs crc32c, which is not installed: pip install 'slatehub[copies]'")
+            raise InvalidSettingError(
+                "voters", "needs crc32c, which is not installed: pip install 'slatehub[copies]'"
+            )
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerTable:
+class LedgerConfig:
     """[ledger]. Off while `classes` names none."""
 
     classes: tuple[str, ...] = words(
@@ -261,30 +267,30 @@
         os.close(os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600))
         os.remove(path)
     except OSError as problem:
-        raise Wrong("folder", f"cannot be written to: {folder!r}: {problem.strerror}") from None
+        raise InvalidSettingError("folder", f"cannot be written to: {folder!r}: {problem.strerror}") from None
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """The whole file; each field is a table of it."""
 
-    log: LogTerms = LogTerms()
-    recorder: RecorderTerms = RecorderTerms()
-    storms: StormTable = StormTable()
-    fleet: FleetTable = FleetTable()
-    copies: CopiesTable = CopiesTable()
-    ledger: LedgerTable = LedgerTable()
+    log: LogConfig = LogConfig()
+    recorder: RecorderConfig = RecorderConfig()
+    storms: StormsConfig = StormsConfig()
+    fleet: FleetConfig = FleetConfig()
+    copies: CopiesConfig = CopiesConfig()
+    ledger: LedgerConfig = LedgerConfig()
 
 
-def read(path: str) -> Operator:
+def read_operator_file(path: str) -> OperatorConfig:
     """The file at `path`, checked; without one all is as usual. ConfigError names the file and the key."""
     if not path:
-        return Operator()
-    tree, usual = _tree(path), Operator()
-    tables = {f.name: type(getattr(usual, f.name)) for f in fields(Operator)}
+        return OperatorConfig()
+    tree, usual = _tree(path), OperatorConfig()
+    tables = {f.name: type(getattr(usual, f.name)) for f in fields(OperatorConfig)}
     _known(path, "", tree, tuple(tables))
     found = {name: _table(path, name, tables[name], tree[name]) for name in tree}
-    whole = Operator(**found)
+    whole = OperatorConfig(**found)
     if whole.copies.voters and not whole.fleet.listen:
         raise ConfigError(f"{path}: copies.voters: needs a fleet: set fleet.listen")
     if whole.fleet.maintenance == "fleet" and not whole.copies.voters:
@@ -323,6 +329,6 @@
         terms = kind(**values)
         terms.check()
     except ValueError as problem:
-        shown = f": {str(tree[key])[:60]!r}" if key and not isinstance(problem, Wrong) else ""
+        shown = f": {str(tree[key])[:60]!r}" if key and not isinstance(problem, InvalidSettingError) else ""
         raise ConfigError(f"{path}: {name}.{getattr(problem, 'key', key)}: {problem}{shown}") from None
     return terms
--- a/slatehub/settings/reader.py
+++ b/slatehub/settings/reader.py
@@ -17,7 +17,15 @@
 from .errors import ConfigError
 from .file import whole
 
-__all__ = ["Address", "ConfigError", "Plant", "address", "flatten", "load", "renew"]
+__all__ = [
+    "Address",
+    "ConfigError",
+    "ProxyConfig",
+    "parse_address",
+    "flatten",
+    "load_config",
+    "merge_reloaded",
+]
 
 Address = tuple[str, int]
 LARGEST = 8 * 1024 * 1024  # bytes of the file: a list of nodes at its largest, twice over
@@ -30,11 +38,13 @@
     "obligations.ask_every_us": 10_000, "obligations.cold_from": 0, "obligations.warm_after_us": 0,
     "obligations.fall_multiple": 0, "obligations.tip_after_us": 0,
 }  # fmt: skip
-MOST_PLACES = 256  # of classes, and of accounts: more than a file has, so that numbers are seldom used again
+MAX_NUMBERED_NAMES = (
+    256  # of classes, and of accounts: more than a file has, so that numbers are seldom used again
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Plant:
+class ProxyConfig:
     """Everything one proxy knows before it meets anybody."""
 
     name: str
@@ -50,10 +60,10 @@
     kinds: dict[str, int]
     zones: dict[str, int]
     max_open: int  # jobs in hand at once
-    idle_us: int  # nodes close a connection that was idle for this long
-    every_class: dict[str, int]  # with those that an earlier file named and this one does not
-    every_account: dict[str, int]
-    operator: operator.Operator = operator.Operator()
+    conn_idle_us: int  # nodes close a connection that was idle for this long
+    all_classes: dict[str, int]  # with those that an earlier file named and this one does not
+    all_accounts: dict[str, int]
+    operator: operator.OperatorConfig = operator.OperatorConfig()
     keys: frozenset[str] = frozenset()  # all that the file holds
     mgmt: Address | None = None  # where operators call; None: nowhere
 
@@ -79,7 +89,7 @@
     return "_".join(str(value).replace(",", " ").split())
 
 
-def address(text: Any, key: str) -> Address:
+def parse_address(text: Any, key: str) -> Address:
     """host:port as a pair; an IPv6 host stands in brackets."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -127,7 +137,7 @@
     return frozenset()
 
 
-def _has_all(old: Plant, new: Plant) -> None:
+def _has_all(old: ProxyConfig, new: ProxyConfig) -> None:
     """Guards against a file cut or written halfway, whose missing keys would take their defaults."""
     for key in sorted(old.keys - new.keys):
         listed = key.rpartition("[]")[0]  # what an empty list's items would have is not missed
@@ -149,19 +159,21 @@
 
 
 def _place(places: dict[str, int], fresh: dict[str, int], count: int) -> int:
-    spare = next((name for name in places if name not in fresh), None) if count >= MOST_PLACES else None
+    spare = (
+        next((name for name in places if name not in fresh), None) if count >= MAX_NUMBERED_NAMES else None
+    )
     return count if spare is None else places.pop(spare)
 
 
-def renew(old: Plant, new: Plant) -> Plant:
+def merge_reloaded(old: ProxyConfig, new: ProxyConfig) -> ProxyConfig:
     """The new papers for a proxy at work. Classes and accounts known before keep their numbers, as jobs in hand and
     the module go by these; new ones follow, and one that is gone from the file has no name to be asked for by. The
     seed and the list in hand stay, as they are newer than the file's. ConfigError where the new file lacks a key that
     the one in force has."""
     _has_all(old, new)
     kinds, tenants = list(old.settings.classes), list(old.settings.tenants)
-    classes = _placed(old.every_class, new.classes, kinds, new.settings.classes)
-    accounts = _placed(old.every_account, new.accounts, tenants, new.settings.tenants)
+    classes = _placed(old.all_classes, new.classes, kinds, new.settings.classes)
+    accounts = _placed(old.all_accounts, new.accounts, tenants, new.settings.tenants)
     return replace(
         new,
         seed=old.seed,
@@ -169,8 +181,8 @@
         settings=replace(new.settings, classes=tuple(kinds), tenants=tuple(tenants)),
         classes={name: classes[name] for name in new.classes},
         accounts={name: accounts[name] for name in new.accounts},
-        every_class=classes,
-        every_account=accounts,
+        all_classes=classes,
+        all_accounts=accounts,
     )
 
 
@@ -201,7 +213,7 @@
         raise ConfigError(f"{key}: must be a number above 0: {str(value)[:60]!r}")
 
 
-def load(environ: Mapping[str, str], own: str | None = None) -> Plant:
+def load_config(environ: Mapping[str, str], own: str | None = None) -> ProxyConfig:
     """Reads EDGE_CONFIG; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY serve where the file leaves them out. The operator's
     file is `own`, else what SLATEHUB_OPERATOR names, if anything."""
     path = environ.get("EDGE_CONFIG")
@@ -213,7 +225,7 @@
         raise ConfigError(f"EDGE_CONFIG {path}: {problem}") from None
     except RecursionError:
         raise ConfigError(f"EDGE_CONFIG {path}: cannot be read as JSON: nested too deeply") from None
-    return replace(plant, operator=operator.read(own or environ.get("SLATEHUB_OPERATOR", "")))
+    return replace(plant, operator=operator.read_operator_file(own or environ.get("SLATEHUB_OPERATOR", "")))
 
 
 def _tree(path: str) -> dict[str, Any]:
@@ -227,7 +239,7 @@
     return tree
 
 
-def _plant(tree: dict[str, Any], environ: Mapping[str, str]) -> Plant:
+def _plant(tree: dict[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
     keys = keys_of(tree)
     for key in ("name", "listen", "discovery", "mgmt"):
         tree.setdefault(key, environ.get("EDGE_" + key.upper()))
@@ -248,10 +260,10 @@
     if not name.isprintable() or not 0 < len(name) <= LONGEST_NAME:
         raise ConfigError(f"name: must be a text of 1 to {LONGEST_NAME} characters that print")
     classes, accounts = _numbered(tree, "settings.services"), _numbered(tree, "settings.tenants")
-    return Plant(
+    return ProxyConfig(
         name=name,
-        listen=address(_item(tree, "listen", str), "listen"),
-        discovery=address(_item(tree, "discovery", str), "discovery"),
+        listen=parse_address(_item(tree, "listen", str), "listen"),
+        discovery=parse_address(_item(tree, "discovery", str), "discovery"),
         seed=seed,
         sockets=_whole(tree, "limits.sockets", 1024, 64),
         memory_mb=_whole(tree, "limits.memory_mb", 192, 1),
@@ -259,12 +271,12 @@
         settings=settings,
         classes=classes,
         accounts=accounts,
-        every_class=classes,
-        every_account=accounts,
+        all_classes=classes,
+        all_accounts=accounts,
         keys=keys,
         kinds=_numbered(tree, "settings.kinds"),
         zones=_numbered(tree, "settings.zones"),
         max_open=_whole(tree, "settings.allowed.max_open", 32768, 1),
-        idle_us=_whole(tree, "settings.allowed.conn_idle_us", 30_000_000, 1),
-        mgmt=address(_item(tree, "mgmt", str), "mgmt") if tree["mgmt"] is not None else None,
+        conn_idle_us=_whole(tree, "settings.allowed.conn_idle_us", 30_000_000, 1),
+        mgmt=parse_address(_item(tree, "mgmt", str), "mgmt") if tree["mgmt"] is not None else None,
     )
--- a/slatehub/store/files.py
+++ b/slatehub/store/files.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 
-class Locked(OSError):
+class FolderLockedError(OSError):
     """Another process has the folder."""
 
 
-class File(Protocol):
+class AppendFile(Protocol):
     def write(self, data: bytes) -> None:
         """All of it behind what is there. OSError; then nobody knows how much of it was written."""
 
@@ -24,22 +24,22 @@
     def close(self) -> None: ...
 
 
-class Files(Protocol):
-    def names(self) -> list[str]: ...
+class Folder(Protocol):
+    def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
-    def append(self, name: str) -> File:
+    def append(self, name: str) -> AppendFile:
         """The file, made where there is none, to be written at its end."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """What stands behind `size` goes, durably."""
 
     def replace(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Names made, replaced and removed so far outlive a loss of power."""
 
     def identity(self) -> str:
@@ -66,9 +66,9 @@
         os.close(self.fd)
 
 
-class Disk:
-    """A folder of the machine's, made where there is none. Locked while it is held. `durable` False: syncs of files
-    say yes at once."""
+class DiskFolder:
+    """A folder of the machine's, made where there is none. FolderLockedError while it is held. `durable` False: syncs
+    of files say yes at once."""
 
     def __init__(self, folder: str, durable: bool = True) -> None:
         self.durable = durable
@@ -80,22 +80,22 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
             self.close()
-            raise Locked(problem.errno, "another process has this folder") from None
+            raise FolderLockedError(problem.errno, "another process has this folder") from None
 
     def _path(self, name: str) -> str:
         return os.path.join(self.folder, name)
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
         with open(self._path(name), "rb") as file:
             return file.read()
 
-    def append(self, name: str) -> File:
+    def append(self, name: str) -> AppendFile:
         return DiskFile(self._path(name), self.durable)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         fd = os.open(self._path(name), os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -109,7 +109,7 @@
     def remove(self, name: str) -> None:
         os.remove(self._path(name))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         os.fsync(self.dir)
 
     def identity(self) -> str:
--- a/slatehub/store/frames.py
+++ b/slatehub/store/frames.py
@@ -9,14 +9,14 @@
 from crc32c import crc32c
 
 MARK = b"\xf7SL\x1a"
-HEAD = struct.Struct("!4sII")
+HEADER = struct.Struct("!4sII")
 LENGTH = struct.Struct("!I")
 LARGEST = 64 * 1024  # bytes of a body
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    at: int
+    start: int
     end: int
     body: bytes
 
@@ -29,25 +29,25 @@
     gaps: list[tuple[int, int]]
 
 
-def framed(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     if not 0 < len(body) <= LARGEST:
         raise ValueError(f"a record of {len(body)} bytes, 1 to {LARGEST} are taken")
     length = LENGTH.pack(len(body))
-    return HEAD.pack(MARK, len(body), crc32c(body, crc32c(length))) + body
+    return HEADER.pack(MARK, len(body), crc32c(body, crc32c(length))) + body
 
 
 def _at(data: bytes, at: int) -> Frame | None:
-    if len(data) - at < HEAD.size:
+    if len(data) - at < HEADER.size:
         return None
-    mark, length, sum_ = HEAD.unpack_from(data, at)
-    end = at + HEAD.size + length
+    mark, length, sum_ = HEADER.unpack_from(data, at)
+    end = at + HEADER.size + length
     if mark != MARK or not 0 < length <= LARGEST or end > len(data):
         return None
-    body = data[at + HEAD.size : end]
+    body = data[at + HEADER.size : end]
     return Frame(at, end, body) if crc32c(body, crc32c(LENGTH.pack(length))) == sum_ else None
 
 
-def scan(data: bytes) -> Scan:
+def scan_frames(data: bytes) -> Scan:
     """Goes on behind what is broken, so that it is known whether anything good follows."""
     frames: list[Frame] = []
     gaps: list[tuple[int, int]] = []
--- a/slatelab/cli/check.py
+++ b/slatelab/cli/check.py
@@ -7,7 +7,7 @@
 
 import click
 
-from slatelab.experiments.run import Job, read
+from slatelab.experiments.run import Job, load_scenario
 from slatelab.scenario import ScenarioError
 
 from . import options
@@ -24,7 +24,7 @@
     wrong: list[str] = []
     for file in files:
         try:
-            click.echo(f"{file}: well: {read(Job(file, changes=settings)).scenario.name}")
+            click.echo(f"{file}: well: {load_scenario(Job(file, overrides=settings)).scenario.name}")
         except ScenarioError as problem:
             wrong += problem.lines
     if wrong:
--- a/slatelab/cli/compare.py
+++ b/slatelab/cli/compare.py
@@ -13,10 +13,10 @@
 
 from slatelab import results
 from slatelab.experiments import batch, compare, revisions
-from slatelab.experiments.run import Job, read
-from slatelab.experiments.statistics import FEWEST
+from slatelab.experiments.run import Job, load_scenario
+from slatelab.experiments.statistics import MIN_PAIRS
 
-from . import options, words
+from . import formatting, options
 from .group import BROKEN, UNTRUSTED, Stop
 from .sweep import workers
 
@@ -26,8 +26,8 @@
 @click.command("compare")
 @options.scenario
 @options.batch
-@click.option("--a", "a_name", metavar="SIDE", default=revisions.WORK, show_default=True)
-@click.option("--b", "b_name", metavar="SIDE", default=revisions.WORK, show_default=True)
+@click.option("--a", "a_name", metavar="SIDE", default=revisions.WORKING_TREE, show_default=True)
+@click.option("--b", "b_name", metavar="SIDE", default=revisions.WORKING_TREE, show_default=True)
 @click.option(
     "--a-set", type=options.Setting(), multiple=True, help="Put a value over the scenario's on side a."
 )
@@ -50,7 +50,9 @@
 
     A SIDE is `work` (the working tree), a folder with slatehub in it, or a revision.
     """
-    base = Job(file, engine, None, settings, keep=str(results.root(out)) if keep else "")
+    base = Job(
+        file, engine, None, settings, results_folder=str(results.results_directory(out)) if keep else ""
+    )
     with tempfile.TemporaryDirectory(prefix="slatelab-") as scratch:
         a = _sided(base, a_name, a_set, Path(scratch))
         b = _sided(base, b_name, b_set, Path(scratch))
@@ -62,8 +64,8 @@
 
 
 def _sided(base: Job, name: str, settings: Settings, scratch: Path) -> Job:
-    job = batch.on(replace(base, changes=(*base.changes, *settings)), name, scratch)
-    read(job)
+    job = batch.with_side(replace(base, overrides=(*base.overrides, *settings)), name, scratch)
+    load_scenario(job)
     return job
 
 
@@ -81,26 +83,29 @@
     out: str | None,
 ) -> compare.Comparison:
     plan = compare.jobs(*sides, seeds)
-    where, name = results.root(out), f"{results.stamp()}-{read(plan[0]).scenario.name}-{base.engine}-compare"
-    with results.draft(where, name) as draft:
-        with words.bar("runs", len(plan), quiet) as move:
-            ended = batch.play_all(plan, workers(base.engine, jobs), lambda i, one: move())
+    where, name = (
+        results.results_directory(out),
+        f"{results.utc_timestamp()}-{load_scenario(plan[0]).scenario.name}-{base.engine}-compare",
+    )
+    with results.new_result_folder(where, name) as draft:
+        with formatting.bar("runs", len(plan), quiet) as move:
+            ended = batch.run_all(plan, workers(base.engine, jobs), lambda i, one: move())
         whole = compare.compare(*names, base, seeds, ended)
-        with results.writing(where):
+        with results.convert_write_errors(where):
             draft.add("compare.json", msgspec.json.format(msgspec.json.encode(whole), indent=1) + b"\n")
-    _print(whole, draft.final)
+    _print(whole, draft.final_path)
     return whole
 
 
 def _print(whole: compare.Comparison, place: Path) -> None:
-    words.say([f"RULES BROKEN by {line}" for line in whole.violations])
-    words.say([f"no result: {line}" for line in whole.spoiled])
-    words.console().print(words.comparison(whole))
-    if len(whole.seeds) < FEWEST:
-        words.say([f"nothing is claimed of fewer than {FEWEST} seeds"])
+    formatting.say([f"RULES BROKEN by {line}" for line in whole.violations])
+    formatting.say([f"no result: {line}" for line in whole.spoiled])
+    formatting.console().print(formatting.comparison(whole))
+    if len(whole.seeds) < MIN_PAIRS:
+        formatting.say([f"nothing is claimed of fewer than {MIN_PAIRS} seeds"])
     if whole.same:
-        words.say([f"{whole.same} of {len(whole.seeds)} pairs are the same to the last byte"])
-    words.say(
+        formatting.say([f"{whole.same} of {len(whole.seeds)} pairs are the same to the last byte"])
+    formatting.say(
         [f"goodput: b is {whole.verdict}" if whole.verdict != "cannot tell" else "goodput: cannot tell"]
     )
-    words.say([f"table {place}"])
+    formatting.say([f"table {place}"])
--- a/slatelab/cli/words.py
+++ b/slatelab/cli/formatting.py
@@ -86,7 +86,7 @@
 def between(figure: Figure, of: Interval, sign: bool = False) -> str:
     if not of.n:
         return "-"
-    return f"{figure.shown(of.mean, sign)}\n{figure.shown(of.low, sign)} to {figure.shown(of.high, sign)}"
+    return f"{figure.format(of.mean, sign)}\n{figure.format(of.low, sign)} to {figure.format(of.high, sign)}"
 
 
 def comparison(whole: Comparison) -> Table:
@@ -102,9 +102,9 @@
     table.add_column("b is")
     for figure, line in zip(FIGURES, whole.lines, strict=True):
         of = line.difference
-        ends = f"{figure.shown(of.low, True)} to {figure.shown(of.high, True)}" if of.n else "-"
+        ends = f"{figure.format(of.low, True)} to {figure.format(of.high, True)}" if of.n else "-"
         table.add_row(
-            titled(figure), figure.shown(line.a), figure.shown(line.b), figure.shown(of.mean, True), ends,
+            titled(figure), figure.format(line.a), figure.format(line.b), figure.format(of.mean, True), ends,
             Text(line.verdict, style=COLOURS[line.verdict]),
         )  # fmt: skip
     return table
--- a/slatelab/cli/group.py
+++ b/slatelab/cli/group.py
@@ -14,8 +14,8 @@
 
 import click
 
-from slatelab.engine import Invalid
-from slatelab.results import Unreadable, Unwritable
+from slatelab.engine import InvalidRunError
+from slatelab.results import ResultReadError, ResultWriteError
 from slatelab.scenario import ScenarioError
 
 # Name and module: a new command needs a line here and nothing else.
@@ -57,15 +57,15 @@
         return command
 
     def invoke(self, ctx: click.Context) -> Any:
-        from slatelab.experiments.revisions import NoSuchSide
+        from slatelab.experiments.revisions import UnknownSideError
 
         try:
             return super().invoke(ctx)
         except ScenarioError as problem:
             raise Stop(UNREADABLE, problem.lines) from None
-        except (NoSuchSide, Unreadable) as problem:
+        except (UnknownSideError, ResultReadError) as problem:
             raise Stop(UNREADABLE, [str(problem)]) from None
-        except (Invalid, Unwritable) as problem:
+        except (InvalidRunError, ResultWriteError) as problem:
             raise Stop(UNTRUSTED, [str(problem)]) from None
         except KeyboardInterrupt:
             raise Stop(INTERRUPTED, ["interrupted"]) from None
--- a/slatelab/cli/listing.py
+++ b/slatelab/cli/listing.py
@@ -8,7 +8,7 @@
 
 from slatelab import results
 
-from . import words
+from . import formatting
 
 
 @click.command("list")
@@ -17,7 +17,7 @@
     """List the results, the oldest first. Whatever is not whole is skipped with a line."""
     from rich.table import Table
 
-    good, skipped = results.every(results.root(out))
+    good, skipped = results.load_all(results.results_directory(out))
     table = Table(show_edge=False)
     for title, justify in (
         ("result", "left"),
@@ -31,7 +31,7 @@
     for folder, one in good:
         table.add_row(*_row(folder, one))
     if good:
-        words.console().print(table)
+        formatting.console().print(table)
     for line in skipped:
         click.echo(line, err=True)
 
@@ -39,6 +39,6 @@
 def _row(folder: Path, one: results.Result) -> tuple[str, ...]:
     latency = one.figures.get("latency") or {}
     orders = str(one.figures.get("requests", "-"))
-    p99 = words.ms(latency.get("p99") if latency.get("count") else None)
-    goodput = words.percent(one.figures.get("goodput"))
+    p99 = formatting.ms(latency.get("p99") if latency.get("count") else None)
+    goodput = formatting.percent(one.figures.get("goodput"))
     return folder.name, one.tested[:12], orders, goodput, p99, str(one.ruling.violations)
--- a/slatelab/cli/report.py
+++ b/slatelab/cli/report.py
@@ -16,9 +16,9 @@
     """Draw the result in DIR, or two beside each other, as one page that needs nothing else."""
     if len(folders) > 2:
         raise click.UsageError("one result or two")
-    from slatelab.report.page import write
+    from slatelab.report.page import write_report
 
     name = "report" if len(folders) == 1 else f"report-{folders[0].resolve().name}"
     where = out or folders[-1] / name
     loaded = [(folder, results.load(folder)) for folder in folders]
-    click.echo(write(loaded, where).resolve())
+    click.echo(write_report(loaded, where).resolve())
--- a/slatelab/cli/run.py
+++ b/slatelab/cli/run.py
@@ -14,7 +14,7 @@
 from slatelab.experiments import batch, revisions
 from slatelab.experiments.run import Job, Summary, run
 
-from . import options, words
+from . import formatting, options
 from .group import BROKEN
 
 
@@ -27,7 +27,7 @@
 @click.option("--quiet", is_flag=True, help="Print nothing but what goes wrong.")
 @click.option("--table", is_flag=True, help="Show the run under way: a live table, or a line a second.")
 @click.option("--drop", is_flag=True, help="Keep no result.")
-@click.option("--tested", default=revisions.WORK, hidden=True)  # what the parent put on our path
+@click.option("--tested", default=revisions.WORKING_TREE, hidden=True)  # what the parent put on our path
 @click.pass_context
 def command(
     ctx: click.Context,
@@ -47,22 +47,24 @@
     """Play the scenario FILE once, judge and measure it, and keep the result."""
     if tree and rev:
         raise click.UsageError("give one of --tree and --rev")
-    keep = "" if drop else str(results.root(out))
-    side = revisions.Side(tested, revisions.HOME)
-    job = Job(file, engine, seed, settings, side, keep=keep)
+    keep = "" if drop else str(results.results_directory(out))
+    side = revisions.Side(tested, revisions.REPOSITORY)
+    job = Job(file, engine, seed, settings, side, results_folder=keep)
     with tempfile.TemporaryDirectory(prefix="slatelab-") as scratch:
         if tree or rev:
-            job = batch.on(job, tree or rev or "", Path(scratch))
-        if job.paths:
+            job = batch.with_side(job, tree or rev or "", Path(scratch))
+        if job.python_path:
             ctx.exit(_child(job, json_file, quiet, table))
         one = _watched(job, quiet, table)
     if json_file:
         write_json(json_file, one)
     if not quiet:
-        words.say([*words.summary(one, job.side.tested), *([f"result {one.result}"] if one.result else [])])
+        formatting.say(
+            [*formatting.summary(one, job.side.tested), *([f"result {one.result}"] if one.result else [])]
+        )
     if one.violations:
         if quiet:
-            click.echo("\n".join(words.verdict(one)), err=True)
+            click.echo("\n".join(formatting.verdict(one)), err=True)
         ctx.exit(BROKEN)
 
 
@@ -70,25 +72,25 @@
     """The same command in a process whose path holds the other slatehub first."""
     more = [*(["--json", str(json_file)] if json_file else []), *(["--quiet"] if quiet else [])]
     more += ["--table"] if table else []
-    more += ["--out", job.keep] if job.keep else ["--drop"]
-    line, env = batch.command(job, *more), batch.environment(job)
+    more += ["--out", job.results_folder] if job.results_folder else ["--drop"]
+    line, env = batch.child_command(job, *more), batch.child_environment(job)
     with subprocess.Popen(line, env=env, stdin=subprocess.DEVNULL, process_group=0) as child:
-        return batch.waited(child)
+        return batch.wait_for_child(child)
 
 
 def _watched(job: Job, quiet: bool, table: bool) -> Summary:
     if quiet or not (table or sys.stderr.isatty()):
         return run(job)
-    from slatelab.report.live import shown
+    from slatelab.report.progress import progress_display
 
-    with shown(f"{job.file.stem}, {job.engine}", brief=not table) as watch:
+    with progress_display(f"{job.file.stem}, {job.engine}", brief=not table) as watch:
         return run(job, watch)
 
 
 def write_json(path: Path, one: Summary) -> None:
     """Whole or not at all."""
     data = msgspec.json.format(msgspec.json.encode(one), indent=1) + b"\n"
-    with results.writing(path.parent):
+    with results.convert_write_errors(path.parent):
         aside = path.with_name(f"{path.name}.part")
         aside.write_bytes(data)
         aside.replace(path)
--- a/slatelab/cli/show.py
+++ b/slatelab/cli/show.py
@@ -9,20 +9,20 @@
 from slatelab import results
 from slatelab.experiments.run import summarise
 
-from . import words
+from . import formatting
 
 
 @click.command("show")
 @click.argument("folder", type=click.Path(path_type=Path), metavar="DIR")
 def command(folder: Path) -> None:
     """Print the result in DIR: figures, verdict with the histories, and what it was made on."""
-    from slatelab.report.view import figures
+    from slatelab.report.view import load_figures
 
     one = results.load(folder)
-    words.say(words.summary(summarise(one, figures(one, folder)), one.tested))
+    formatting.say(formatting.summary(summarise(one, load_figures(one, folder)), one.tested))
     for complaint in one.ruling.first:
-        words.say(["", *complaint.history.splitlines()])
-    words.say(["", *about(one)])
+        formatting.say(["", *complaint.history.splitlines()])
+    formatting.say(["", *about(one)])
 
 
 def about(one: results.Result) -> list[str]:
--- a/slatelab/cli/sweep.py
+++ b/slatelab/cli/sweep.py
@@ -12,9 +12,9 @@
 
 from slatelab import results
 from slatelab.experiments import batch, sweep
-from slatelab.experiments.run import Job, read
+from slatelab.experiments.run import Job, load_scenario
 
-from . import options, words
+from . import formatting, options
 from .group import BROKEN, UNTRUSTED, Stop
 
 MOST_RUNS = 100_000
@@ -36,18 +36,20 @@
     vary: tuple[tuple[str, list[Any]], ...],
 ) -> None:
     """Play the scenario FILE for every combination of the given values, each with all seeds."""
-    base = Job(file, engine, None, settings, keep=str(results.root(out)) if keep else "")
+    base = Job(
+        file, engine, None, settings, results_folder=str(results.results_directory(out)) if keep else ""
+    )
     plan = planned(base, vary, seeds)
-    name = f"{results.stamp()}-{read(plan[0]).scenario.name}-{engine}-sweep"
-    with results.draft(results.root(out), name) as draft:
-        with words.bar("runs", len(plan), quiet) as move:
-            ended = batch.play_all(plan, workers(engine, jobs), lambda i, one: move())
+    name = f"{results.utc_timestamp()}-{load_scenario(plan[0]).scenario.name}-{engine}-sweep"
+    with results.new_result_folder(results.results_directory(out), name) as draft:
+        with formatting.bar("runs", len(plan), quiet) as move:
+            ended = batch.run_all(plan, workers(engine, jobs), lambda i, one: move())
         whole = sweep.table(base, vary, seeds, ended)
-        with results.writing(results.root(out)):
+        with results.convert_write_errors(results.results_directory(out)):
             draft.add("sweep.json", msgspec.json.format(msgspec.json.encode(whole), indent=1) + b"\n")
             draft.add("sweep.csv", sweep.as_csv(whole).encode())
-    words.console().print(words.sweep(whole))
-    words.say([f"tables {draft.final}"])
+    formatting.console().print(formatting.sweep(whole))
+    formatting.say([f"tables {draft.final_path}"])
     finish(whole)
 
 
@@ -57,7 +59,7 @@
     if len(plan) > MOST_RUNS:
         raise click.UsageError(f"{len(plan)} runs, {MOST_RUNS} at most")
     for cell in sweep.cells(vary):
-        read(replace(base, changes=(*base.changes, *cell)))
+        load_scenario(replace(base, overrides=(*base.overrides, *cell)))
     return plan
 
 
--- a/slatelab/engine.py
+++ b/slatelab/engine.py
@@ -9,17 +9,17 @@
 from .records import Record
 
 
-class Invalid(Exception):
+class InvalidRunError(Exception):
     """The run cannot be taken for a result (exit 3): the load ran late, one of the lab's own processes died, nothing
     could be started. The text is one line and says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class ProgressSnapshot:
     """A look at a run under way, about ten a second of its time: for progress bars and the live table."""
 
     t: int  # microseconds since the run's epoch
-    until: int  # when the last arrival is due
+    last_arrival_at: int  # when the last arrival is due
     asked: int = 0  # orders so far
     served: int = 0
     refused: int = 0
@@ -29,7 +29,7 @@
     nodes: tuple[tuple[str, str, int], ...] = ()
 
 
-Watch = Callable[[Tick], None]
+ProgressCallback = Callable[[ProgressSnapshot], None]
 
 
 @dataclass(slots=True)
--- a/slatelab/experiments/batch.py
+++ b/slatelab/experiments/batch.py
@@ -25,8 +25,8 @@
 
 import msgspec
 
-from slatelab.engine import Invalid
-from slatelab.results import Unwritable
+from slatelab.engine import InvalidRunError
+from slatelab.results import ResultWriteError
 from slatelab.scenario import ScenarioError
 
 from . import revisions
@@ -36,39 +36,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoiled:
+class FailedRun:
     """A run that gave no result; `code` is the exit code that `run` would have had."""
 
     reason: str
     code: int
 
 
-Outcome = Summary | Spoiled
+Outcome = Summary | FailedRun
 Player = Callable[[Job], Outcome]
 Done = Callable[[int, Outcome], None]
 
 
 def outcome(job: Job) -> Outcome:
-    """Plays a job, whatever its side; expected failures come back as Spoiled."""
+    """Plays a job, whatever its side; expected failures come back as FailedRun."""
     try:
-        return _apart(job) if job.paths else run(job)
+        return _apart(job) if job.python_path else run(job)
     except ScenarioError as problem:
-        return Spoiled(str(problem), 2)
-    except (Invalid, Unwritable) as problem:
-        return Spoiled(str(problem), 3)
+        return FailedRun(str(problem), 2)
+    except (InvalidRunError, ResultWriteError) as problem:
+        return FailedRun(str(problem), 3)
 
 
-def play_all(
-    jobs: Sequence[Job], workers: int, done: Done = lambda i, o: None, player: Player = outcome
+def run_all(
+    jobs: Sequence[Job], workers: int, done: Done = lambda i, o: None, run_job: Player = outcome
 ) -> list[Outcome]:
     """The outcomes in the order of the jobs, whichever ends first; `done` hears of each as it ends. A worker
     that dies spoils what it had in hand and all that comes after."""
     if workers <= 1:
-        return list(_one_by_one(jobs, done, player))
-    found: list[Outcome] = [Spoiled("a worker process died", 3)] * len(jobs)
+        return list(_one_by_one(jobs, done, run_job))
+    found: list[Outcome] = [FailedRun("a worker process died", 3)] * len(jobs)
     with _pool(min(workers, len(jobs))) as pool:
         futures: dict[Future[Outcome], int] = {
-            pool.submit(_play, player, job): i for i, job in enumerate(jobs)
+            pool.submit(_play, run_job, job): i for i, job in enumerate(jobs)
         }
         for future in as_completed(futures):
             i = futures[future]
@@ -158,38 +158,42 @@
 # ---------------------------------------------------------------- a slatehub of its own
 
 
-def on(job: Job, name: str, scratch: Path) -> Job:
-    """The job on the side called `name`. Raises revisions.NoSuchSide."""
-    side = revisions.side(name, scratch, job.engine)
-    paths = revisions.overlay(side, scratch) if side.foreign and job.engine == "model" else []
-    return replace(job, side=side, paths=tuple(paths))
+def with_side(job: Job, name: str, scratch: Path) -> Job:
+    """The job on the side called `name`. Raises revisions.UnknownSideError."""
+    side = revisions.resolve_side(name, scratch, job.engine)
+    paths = revisions.python_path(side, scratch) if side.foreign and job.engine == "model" else []
+    return replace(job, side=side, python_path=tuple(paths))
 
 
-def command(job: Job, *more: str) -> list[str]:
+def child_command(job: Job, *more: str) -> list[str]:
     """The command line of a job. -P keeps the current folder off the path, where another slatelab may lie."""
     words = [sys.executable, "-P", "-B", "-m", "slatelab", "run", str(job.file), "--engine", job.engine]
     words += [] if job.seed is None else ["--seed", str(job.seed)]
-    for key, value in job.changes:
+    for key, value in job.overrides:
         words += ["--set", f"{key}={msgspec.json.encode(value).decode()}"]
     return [*words, "--tested", job.side.tested, *more]
 
 
-def environment(job: Job) -> dict[str, str]:
+def child_environment(job: Job) -> dict[str, str]:
     """Of a child that runs the job's side."""
-    return {**os.environ, "PYTHONPATH": os.pathsep.join(str(path) for path in job.paths)}
+    return {**os.environ, "PYTHONPATH": os.pathsep.join(str(path) for path in job.python_path)}
 
 
 def _apart(job: Job) -> Outcome:
     with tempfile.TemporaryDirectory(prefix="slatelab-") as scratch:
         out = Path(scratch) / "summary.json"
-        words = command(
-            job, "--quiet", "--json", str(out), *(["--out", job.keep] if job.keep else ["--drop"])
+        words = child_command(
+            job,
+            "--quiet",
+            "--json",
+            str(out),
+            *(["--out", job.results_folder] if job.results_folder else ["--drop"]),
         )
-        code, said = _finish(words, environment(job))
+        code, said = _finish(words, child_environment(job))
         if code in (0, 1) and out.exists():
             return msgspec.json.decode(out.read_bytes(), type=Summary)
         last = (said.strip().splitlines() or ["said nothing"])[-1]
-        return Spoiled(last.removeprefix("slatelab: "), code if code in (2, 3) else 3)
+        return FailedRun(last.removeprefix("slatelab: "), code if code in (2, 3) else 3)
 
 
 def _finish(words: list[str], env: dict[str, str]) -> tuple[int, str]:
@@ -199,12 +203,12 @@
         with subprocess.Popen(
             words, env=env, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=said, process_group=0
         ) as child:
-            code = waited(child)
+            code = wait_for_child(child)
         said.seek(0)
         return code, said.read()
 
 
-def waited(child: subprocess.Popen[Any]) -> int:
+def wait_for_child(child: subprocess.Popen[Any]) -> int:
     """The exit code of a child in a group of its own. Interrupted, this tells the child, waits for it to put
     its things away, and then ends it."""
     try:
--- a/slatelab/experiments/compare.py
+++ b/slatelab/experiments/compare.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .batch import Outcome, Spoiled
+from .batch import FailedRun, Outcome
 from .run import Job, Summary
 from .statistics import FIGURES, Interval, difference
 
@@ -76,7 +76,7 @@
             f"{name} seed {seed}: {one.reason}"
             for seed, pair in zip(seeds, pairs, strict=True)
             for name, one in zip(names, pair, strict=True)
-            if isinstance(one, Spoiled)
+            if isinstance(one, FailedRun)
         ],
         same=sum(x.trace_sha256 == y.trace_sha256 for x, y in good),
         runs=[(_kept(x), _kept(y)) for x, y in pairs],
--- a/slatelab/experiments/revisions.py
+++ b/slatelab/experiments/revisions.py
@@ -15,12 +15,12 @@
 
 import slatelab
 
-HOME = Path(slatelab.__file__).resolve().parents[1]  # the lab's own tree
+REPOSITORY = Path(slatelab.__file__).resolve().parents[1]  # the lab's own tree
 GIT_TIMEOUT_S = 60
-WORK = "work"
+WORKING_TREE = "work"
 
 
-class NoSuchSide(Exception):
+class UnknownSideError(Exception):
     """Neither "work", nor a folder with slatehub in it, nor a revision; or one that the engine cannot run.
     One line."""
 
@@ -35,34 +35,36 @@
 
     @property
     def foreign(self) -> bool:
-        return self.tested != WORK
+        return self.tested != WORKING_TREE
 
 
-OWN = Side(WORK, HOME)
+OWN = Side(WORKING_TREE, REPOSITORY)
 
 
-def side(name: str, scratch: Path, engine: str) -> Side:
-    """The side called `name`; a revision is exported below `scratch`. Raises NoSuchSide."""
-    if name == WORK:
+def resolve_side(name: str, scratch: Path, engine: str) -> Side:
+    """The side called `name`; a revision is exported below `scratch`. Raises UnknownSideError."""
+    if name == WORKING_TREE:
         return OWN
     folder = Path(name)
     if (folder / "slatehub").is_dir():
         return _fit(Side("folder", folder.resolve()), name, engine)
     if folder.is_dir() and os.sep in name:
-        raise NoSuchSide(f"{name}: there is no slatehub in this folder")
+        raise UnknownSideError(f"{name}: there is no slatehub in this folder")
     revision = (
         _git("rev-parse", "--verify", "--quiet", "--end-of-options", f"{name}^{{commit}}").decode().strip()
     )
     if not re.fullmatch(r"[0-9a-f]{40,64}", revision):
-        raise NoSuchSide(f"{name}: neither a folder with slatehub in it nor a revision of {HOME.name}")
+        raise UnknownSideError(
+            f"{name}: neither a folder with slatehub in it nor a revision of {REPOSITORY.name}"
+        )
     return _fit(Side(revision, _export(revision, scratch)), name, engine)
 
 
 def _fit(one: Side, name: str, engine: str) -> Side:
     if not (one.tree / "slatehub").is_dir():
-        raise NoSuchSide(f"{name}: has no slatehub")
+        raise UnknownSideError(f"{name}: has no slatehub")
     if engine == "model" and not (one.tree / "slatehub" / "core").is_dir():
-        raise NoSuchSide(
+        raise UnknownSideError(
             f"{name}: its slatehub has no package `core` for the engine model to run; use --engine live"
         )
     return one
@@ -76,16 +78,16 @@
     return place
 
 
-def overlay(one: Side, scratch: Path) -> list[Path]:
+def python_path(one: Side, scratch: Path) -> list[Path]:
     """What PYTHONPATH must hold, in order, so that the side's slatehub and paddlestep come before the working
     tree's while slatelab stays the working tree's own."""
     place = Path(tempfile.mkdtemp(prefix="path-", dir=scratch))
     for package in ("slatehub", "paddlestep"):
         (place / package).symlink_to(one.tree / package)
-    return [place, HOME]
+    return [place, REPOSITORY]
 
 
-def state() -> tuple[str, bool]:
+def repository_state() -> tuple[str, bool]:
     """The revision of the lab's own tree and whether it had changes; ("", False) outside a repository."""
     revision = _git("rev-parse", "--verify", "--quiet", "HEAD").decode().strip()
     return revision, bool(revision and _git("status", "--porcelain", "--untracked-files=no"))
@@ -97,7 +99,7 @@
     env = {**os.environ, "GIT_OPTIONAL_LOCKS": "0"}
     try:
         done = subprocess.run(
-            ["git", "-C", str(HOME), *words],
+            ["git", "-C", str(REPOSITORY), *words],
             capture_output=True,
             timeout=GIT_TIMEOUT_S,
             env=env,
--- a/slatelab/experiments/run.py
+++ b/slatelab/experiments/run.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from slatelab import results
-from slatelab.engine import Invalid, Recording, Watch
+from slatelab.engine import InvalidRunError, ProgressCallback, Recording
 from slatelab.records import FaultBegan, FaultEnded, Logged, Record, Up, digest
 from slatelab.scenario import Scenario, ScenarioError, load
 
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from slatelab.figures import Figures
-    from slatelab.judge import Ruling
+    from slatelab.judge import JudgeReport
 
 ENGINES = {"model": "slatelab.model", "live": "slatelab.live"}
 CURES = ("start", "renew", "proxy-start")
@@ -40,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What to play; may be handed to another process. `paths`: PYTHONPATH of a side that is not the working
+    """What to play; may be handed to another process. `python_path`: PYTHONPATH of a side that is not the working
     tree, for the engine model; the engine live gets `side.tree`."""
 
     file: Path
     engine: str = "model"
     seed: int | None = None
-    changes: tuple[tuple[str, Any], ...] = ()
+    overrides: tuple[tuple[str, Any], ...] = ()
     side: revisions.Side = revisions.OWN
-    paths: tuple[Path, ...] = ()
-    keep: str = ""  # the folder for results; "": nothing is kept
+    python_path: tuple[Path, ...] = ()
+    results_folder: str = ""  # the folder for results; "": nothing is kept
 
 
 class Summary(msgspec.Struct, frozen=True, kw_only=True):
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class Played:
+class CompletedRun:
     """A run in memory, judged and measured."""
 
     result: results.Result
@@ -97,44 +97,45 @@
     records: list[Record] = field(repr=False)
 
 
-def read(job: Job) -> Scenario:
+def load_scenario(job: Job) -> Scenario:
     """The scenario with the job's changes. Raises ScenarioError, also for what reads well and cannot be played: faults
     without their targets, an overload that is not declared."""
-    scenario = load(job.file, dict(job.changes))
+    scenario = load(job.file, dict(job.overrides))
     check = importlib.import_module("slatelab.plant.check")
-    if wrong := check.wrong(scenario, job.file.parent):
+    if wrong := check.find_errors(scenario, job.file.parent):
         raise ScenarioError([f"{job.file}: {line}" for line in wrong])
     return scenario
 
 
-def play(job: Job, watch: Watch | None = None) -> Played:
-    """Raises ScenarioError and Invalid; also Invalid for what the machine would not give (sockets, disk,
-    memory)."""
-    scenario = read(job)
+def run_with_records(job: Job, watch: ProgressCallback | None = None) -> CompletedRun:
+    """Raises ScenarioError and InvalidRunError; also InvalidRunError for what the machine would not give (sockets,
+    disk, memory)."""
+    scenario = load_scenario(job)
     seed = scenario.scenario.seed if job.seed is None else job.seed
     began = time.monotonic()
     try:
         recording = _record(job, scenario, seed, watch)
     except (OSError, MemoryError) as problem:
-        raise Invalid(f"the run broke off: {type(problem).__name__}: {problem}") from problem
+        raise InvalidRunError(f"the run broke off: {type(problem).__name__}: {problem}") from problem
     return _conclude(job, scenario, recording, time.monotonic() - began)
 
 
-def run(job: Job, watch: Watch | None = None) -> Summary:
+def run(job: Job, watch: ProgressCallback | None = None) -> Summary:
     """Plays and, where the job says so, keeps the result. The folder is opened before the run, so that a
-    place that cannot be written to is said at once. Raises ScenarioError, Invalid and results.Unwritable."""
-    if not job.keep:
-        return play(job, watch).summary
-    scenario = read(job)
+    place that cannot be written to is said at once. Raises ScenarioError, InvalidRunError and
+    results.ResultWriteError."""
+    if not job.results_folder:
+        return run_with_records(job, watch).summary
+    scenario = load_scenario(job)
     seed = scenario.scenario.seed if job.seed is None else job.seed
-    name = results.folder_name(results.stamp(), scenario.scenario.name, job.engine, seed)
-    with results.draft(Path(job.keep), name) as draft:
-        played = play(job, watch)
+    name = results.folder_name(results.utc_timestamp(), scenario.scenario.name, job.engine, seed)
+    with results.new_result_folder(Path(job.results_folder), name) as draft:
+        played = run_with_records(job, watch)
         results.save(draft, played.result, played.records)
-    return msgspec.structs.replace(played.summary, result=str(draft.final))
+    return msgspec.structs.replace(played.summary, result=str(draft.final_path))
 
 
-def _record(job: Job, scenario: Scenario, seed: int, watch: Watch | None) -> Recording:
+def _record(job: Job, scenario: Scenario, seed: int, watch: ProgressCallback | None) -> Recording:
     engine: Callable[..., Recording] = importlib.import_module(ENGINES[job.engine]).run
     if job.engine == "model":
         return engine(scenario, seed, job.file.parent, watch)
@@ -142,14 +143,14 @@
         return engine(scenario, seed, job.file.parent, watch, job.side.tree, Path(scratch))
 
 
-def _conclude(job: Job, scenario: Scenario, recording: Recording, wall_s: float) -> Played:
+def _conclude(job: Job, scenario: Scenario, recording: Recording, wall_s: float) -> CompletedRun:
     judge = importlib.import_module("slatelab.judge").judge
     measure = importlib.import_module("slatelab.figures").measure
-    ruling: Ruling = judge(scenario, recording.records)
+    ruling: JudgeReport = judge(scenario, recording.records)
     figures: Figures = measure(scenario, recording.records)
     trace = digest(recording.records)
     result = _result(job, scenario, recording, round(wall_s, 3), trace, figures, ruling)
-    return Played(result, summarise(result, figures), recording.records)
+    return CompletedRun(result, summarise(result, figures), recording.records)
 
 
 def summarise(result: results.Result, figures: Figures) -> Summary:
@@ -189,12 +190,12 @@
     wall_s: float,
     trace: str,
     figures: Figures,
-    ruling: Ruling,
+    ruling: JudgeReport,
 ) -> results.Result:
     raw = job.file.read_bytes()
     log, lines = logged(recording.records)
     return results.Result(
-        made=results.stamp(),
+        made=results.utc_timestamp(),
         versions=_versions(),
         machine=machine(),
         tested=job.side.tested,
@@ -202,7 +203,7 @@
         scenario_text=raw.decode(),
         scenario_sha256=results.sha256(raw),
         traces=_traces(scenario, job.file.parent),
-        changes=dict(job.changes),
+        changes=dict(job.overrides),
         duration=scenario.scenario.duration,
         warmup=scenario.scenario.warmup,
         engine=job.engine,
@@ -222,7 +223,7 @@
     )
 
 
-def ruled(ruling: Ruling) -> results.Ruled:
+def ruled(ruling: JudgeReport) -> results.Ruled:
     """The verdict as a result keeps it: all counts, the first violations with their history."""
     first = [
         results.Complaint(one.rule, one.request, one.t, one.text, _cut(one.explain()))
@@ -287,7 +288,7 @@
 def _versions() -> results.Versions:
     import slatelab
 
-    revision, dirty = revisions.state()
+    revision, dirty = revisions.repository_state()
     return results.Versions(platform.python_version(), getattr(slatelab, "__version__", ""), revision, dirty)
 
 
--- a/slatelab/experiments/statistics.py
+++ b/slatelab/experiments/statistics.py
@@ -5,7 +5,7 @@
 The plain bootstrap is too sure of itself with few values, so its level is raised as for a small sample
 (`level`). Of 600 normal samples each the interval held the true mean in 81 % without and 89 % with that at 5
 values, 92 and 94.5 % at 10, 92.5 and 95 % at 20; of skewed ones (exponential) in 79 and 85, 89 and 92, 91 and
-94 %. So nothing is claimed of fewer than `FEWEST`.
+94 %. So nothing is claimed of fewer than `MIN_PAIRS`.
 
 Sources: B. Efron, "Better bootstrap confidence intervals", JASA 82 (1987), for BCa, as scipy.stats.bootstrap
 has it; T. Hesterberg, "What Teachers Should Know About the Bootstrap", The American Statistician 69 (2015),
@@ -22,7 +22,7 @@
 LEVEL = 0.95
 RESAMPLES = 9_999
 STATE = 20_250_101  # of the resampling: fixed, so that a table can be made again to the last digit
-FEWEST = 8  # pairs below which nothing is claimed
+MIN_PAIRS = 8  # pairs below which nothing is claimed
 
 Verdict = Literal["better", "worse", "cannot tell"]
 
@@ -38,7 +38,7 @@
     scale: float = 1.0
     digits: int = 2
 
-    def shown(self, value: float | None, sign: bool = False) -> str:
+    def format(self, value: float | None, sign: bool = False) -> str:
         if value is None or math.isnan(value):
             return "-"
         return f"{value * self.scale:{'+' if sign else ''}.{self.digits}f}"
@@ -76,7 +76,7 @@
     verdict: Verdict
 
 
-def interval(values: Sequence[float]) -> Interval:
+def confidence_interval(values: Sequence[float]) -> Interval:
     """The mean and its interval: BCa where it is defined (it needs three values that are not all alike), else
     the percentile interval; a single value has itself for both ends."""
     n = len(values)
@@ -114,8 +114,8 @@
 
 
 def verdict(figure: Figure, of: Interval) -> Verdict:
-    """Of a difference: "cannot tell" where the interval holds 0 or rests on fewer than FEWEST pairs."""
-    if of.n < FEWEST or not (of.low > 0 or of.high < 0):
+    """Of a difference: "cannot tell" where the interval holds 0 or rests on fewer than MIN_PAIRS pairs."""
+    if of.n < MIN_PAIRS or not (of.low > 0 or of.high < 0):
         return "cannot tell"
     return "better" if (of.low > 0) == figure.higher_is_better else "worse"
 
@@ -123,7 +123,7 @@
 def difference(figure: Figure, a: Sequence[float | None], b: Sequence[float | None]) -> Difference:
     """Of two sides paired by position; a pair that lacks the figure on a side is left out."""
     pairs = [(x, y) for x, y in zip(a, b, strict=True) if x is not None and y is not None]
-    of = interval([y - x for x, y in pairs])
+    of = confidence_interval([y - x for x, y in pairs])
     means = [math.fsum(side) / len(pairs) if pairs else math.nan for side in zip(*pairs, strict=True)] or [
         math.nan
     ] * 2
--- a/slatelab/experiments/sweep.py
+++ b/slatelab/experiments/sweep.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from .batch import Outcome, Spoiled
+from .batch import FailedRun, Outcome
 from .run import Job, Summary
-from .statistics import FIGURES, Interval, interval
+from .statistics import FIGURES, Interval, confidence_interval
 
 Setting = tuple[str, Any]
 
@@ -51,7 +51,7 @@
     from dataclasses import replace
 
     return [
-        replace(base, seed=seed, changes=(*base.changes, *cell)) for cell in cells(vary) for seed in seeds
+        replace(base, seed=seed, overrides=(*base.overrides, *cell)) for cell in cells(vary) for seed in seeds
     ]
 
 
@@ -69,7 +69,7 @@
 def _row(cell: Sequence[Setting], seeds: Sequence[int], ended: Sequence[Outcome]) -> Row:
     good = [(seed, one) for seed, one in zip(seeds, ended, strict=True) if isinstance(one, Summary)]
     spoiled = [
-        f"{seed}: {one.reason}" for seed, one in zip(seeds, ended, strict=True) if isinstance(one, Spoiled)
+        f"{seed}: {one.reason}" for seed, one in zip(seeds, ended, strict=True) if isinstance(one, FailedRun)
     ]
     broken = [
         f"{seed}: {one.first[0] if one.first else 'a rule was broken'}"
@@ -79,7 +79,7 @@
     figures = {}
     for figure in FIGURES:
         values = [one.scalar(figure.key) for _, one in good]
-        figures[figure.key] = interval([value for value in values if value is not None])
+        figures[figure.key] = confidence_interval([value for value in values if value is not None])
     return Row(dict(cell), len(good), sum(one.violations for _, one in good), broken, spoiled, figures)
 
 
--- a/slatelab/figures/load.py
+++ b/slatelab/figures/load.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from itertools import accumulate
 
-from slatelab.records import order_of
+from slatelab.records import order_id
 
 from .facts import Facts
 from .types import NodeLoad
@@ -84,7 +84,7 @@
     }
     whole = useful = 0
     for came in facts.came:
-        if order_of(came.request) in orders:
+        if order_id(came.request) in orders:
             whole += came.work_us
             maker = (came.request, came.node, came.life)
             useful += came.work_us if maker in makers else 0
--- a/slatelab/figures/measure.py
+++ b/slatelab/figures/measure.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from slatelab.records import FaultBegan, FaultEnded, Record, order_of
+from slatelab.records import FaultBegan, FaultEnded, Record, order_id
 from slatelab.scenario import Scenario
 
 from .facts import Facts, facts
@@ -72,7 +72,7 @@
 def _tries(facts: Facts, counted: set[str]) -> list[str]:
     """Requests of clients, each once, that were taken for these orders."""
     asked = (fact.request for fact in facts.asked)
-    return list(dict.fromkeys(r for r in asked if "/" not in r and order_of(r) in counted))
+    return list(dict.fromkeys(r for r in asked if "/" not in r and order_id(r) in counted))
 
 
 def _count(some: list[Order], which: Callable[[Order], bool]) -> int:
--- a/slatelab/figures/orders.py
+++ b/slatelab/figures/orders.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from slatelab.records import Answered, Asked, BrokenOff, GaveUp, order_of
+from slatelab.records import Answered, Asked, BrokenOff, GaveUp, order_id
 from slatelab.scenario import Scenario
 
 from .facts import Facts
@@ -63,7 +63,7 @@
     for fact in sorted(heard, key=lambda fact: fact.t):
         if "/" in fact.request:
             continue
-        name = order_of(fact.request)
+        name = order_id(fact.request)
         due = fact.intended if isinstance(fact, Asked) else fact.t
         order = found.get(name) or found.setdefault(name, Order(name, due))
         if isinstance(fact, Asked):
@@ -77,7 +77,7 @@
 def _ended(found: dict[str, Order], facts: Facts) -> None:
     """The first answer 200 counts; without one, the last end of a try."""
     for fact in facts.ends:
-        order = found.get(order_of(fact.request)) if "/" not in fact.request else None
+        order = found.get(order_id(fact.request)) if "/" not in fact.request else None
         if order and order.end != "served":
             order.end = _end(fact)
             order.answered = fact.t
--- a/slatelab/judge/__init__.py
+++ b/slatelab/judge/__init__.py
@@ -2,7 +2,7 @@
 `slatelab.records` alone, and must never import slatehub, paddlestep, an engine or the plant's machines: a
 shared mistake would acquit itself."""
 
-from .court import judge
-from .ruling import RULES, Ruling, Violation
+from .checker import judge
+from .report import RULES, JudgeReport, Violation
 
-__all__ = ["RULES", "Ruling", "Violation", "judge"]
+__all__ = ["RULES", "JudgeReport", "Violation", "judge"]
--- a/slatelab/judge/court.py
+++ b/slatelab/judge/checker.py
@@ -9,26 +9,26 @@
 from functools import cache
 from operator import attrgetter
 
-from slatelab.records import Began, Came, Logged, ProxyDown, Record, Replied, Up, order_of
+from slatelab.records import Began, Came, Logged, ProxyDown, Record, Replied, Up, order_id
 from slatelab.scenario import Scenario
 
 from .case import REQUEST_FACTS, Case, RequestFact
 from .cold import fallible, pushed_over
+from .fleet_rules import judge as judge_whole
+from .report import Docket, JudgeReport, Violation, history
 from .requests import Maker, Requests
-from .ruling import Docket, Ruling, Violation, history
 from .timeline import Timeline
-from .whole import judge as judge_whole
 
 Groups = dict[str, list[RequestFact]]
 Life = tuple[str, int]  # of a node
 
 
-def judge(scenario: Scenario, records: Iterable[Record]) -> Ruling:
+def judge(scenario: Scenario, records: Iterable[Record]) -> JudgeReport:
     """Proves or refutes each rule for each request, order, node and proxy of a run. The recording's end is
     its last record: what was open then counts as unanswered. A scenario without proxies (proxy.kind "direct")
     has nobody to judge. Needs a reference to every record at once; a million take some seconds."""
     if scenario.proxy.kind == "direct":
-        return Ruling()
+        return JudgeReport()
     records = list(records)
     groups, rest, end = _sort_out(records)
     timeline = Timeline(scenario.rules, rest, end)
@@ -91,7 +91,7 @@
     def take(self, case: Case, unsafe: bool) -> None:
         if "/" in case.request:
             return
-        order = order_of(case.request)
+        order = order_id(case.request)
         self._tries[order].append(case.request)
         self._began[order] += case.began
         if unsafe:
--- a/slatelab/judge/cold.py
+++ b/slatelab/judge/cold.py
@@ -21,7 +21,7 @@
 from slatelab.records import Came, Down, Record, Up
 from slatelab.scenario import Scenario
 
-from .ruling import Violation, history, ms
+from .report import Violation, history, ms
 from .timeline import Timeline
 
 KNOWING = 2 / 3  # the part of the work from proxies told of the start from which on it is their doing
--- a/slatelab/judge/whole.py
+++ b/slatelab/judge/fleet_rules.py
@@ -9,11 +9,11 @@
 from collections import Counter, defaultdict
 from collections.abc import Collection, Iterable, Iterator
 
-from slatelab.records import Answered, Asked, Came, Record, order_of
+from slatelab.records import Answered, Asked, Came, Record, order_id
 from slatelab.scenario import Scenario
 
 from .case import REFUSALS
-from .ruling import Violation
+from .report import Violation
 
 WINDOW_US = 5_000_000
 ENOUGH = 20  # tries of a class at a proxy in a window, before their share says anything
@@ -31,7 +31,7 @@
     if found and found > rules.fleet_attempts:
         text = f"{found:.3f} attempts an order at the first tier, {rules.fleet_attempts:g} are allowed"
         yield Violation("fleet-attempts", "", end, text)
-    share = inversions(scenario, records) if rules.inversions else None
+    share = priority_inversions(scenario, records) if rules.inversions else None
     if share and share > rules.inversions:
         most = f"{rules.inversions:.2%} allowed"
         text = f"{share:.2%} of the tries were refused where worth less was taken elsewhere, {most}"
@@ -44,13 +44,13 @@
     came: Counter[str] = Counter()
     for fact in records:
         if isinstance(fact, Asked) and "/" not in fact.request and fact.intended >= scenario.scenario.warmup:
-            orders.add(order_of(fact.request))
+            orders.add(order_id(fact.request))
         elif isinstance(fact, Came) and "/" not in fact.request:
-            came[order_of(fact.request)] += 1
+            came[order_id(fact.request)] += 1
     return sum(came[order] for order in orders) / len(orders) if orders else None
 
 
-def inversions(scenario: Scenario, records: Iterable[Record]) -> float | None:
+def priority_inversions(scenario: Scenario, records: Iterable[Record]) -> float | None:
     """Of the tries in windows in which any was refused, the share that was refused although a class that is worth less
     for its work was let in more often at the other proxies together: for each proxy and class the gap between the two
     shares, times its tries. Proxies with too few tries of a class to say count as one, and are held against all, also
--- a/slatelab/judge/ruling.py
+++ b/slatelab/judge/report.py
@@ -41,7 +41,7 @@
         return "\n".join(lines)
 
 
-class Ruling(msgspec.Struct):
+class JudgeReport(msgspec.Struct):
     """The verdict on a run: at most MOST violations in order of time, each rule that was broken among them,
     and in `counts` how often each was broken in all. `requests` and `orders` are how many were judged."""
 
@@ -51,7 +51,7 @@
     orders: int = 0
 
     @property
-    def clean(self) -> bool:
+    def passed(self) -> bool:
         return not self.counts
 
 
@@ -69,10 +69,10 @@
             if len(self._kept[violation.rule]) < MOST:
                 self._kept[violation.rule].append(violation)
 
-    def close(self, requests: int, orders: int) -> Ruling:
+    def close(self, requests: int, orders: int) -> JudgeReport:
         broken = {rule: count for rule, count in self.counts.items() if count}
         kept = sorted(self._choose(), key=lambda violation: violation.t)
-        return Ruling(kept, broken, requests, orders)
+        return JudgeReport(kept, broken, requests, orders)
 
     def _choose(self) -> list[Violation]:
         """In turns from each rule until there are MOST."""
--- a/slatelab/judge/requests.py
+++ b/slatelab/judge/requests.py
@@ -11,7 +11,7 @@
 from slatelab.scenario import Scenario
 
 from .case import REFUSALS, Attempt, Case
-from .ruling import Violation, history, ms
+from .report import Violation, history, ms
 from .timeline import NEVER, STOP_GRACE_US, STOP_MOST_US, Timeline
 
 ABOUT_US = 10_000_000  # how near a request's time a proxy's start or end belongs to its history
--- a/slatelab/live/places.py
+++ b/slatelab/live/addresses.py
@@ -7,7 +7,7 @@
 import os
 import socket
 
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 
 NETS = range(64, 192)
 PORTS = range(10_240, 32_000)  # below those that the kernel gives to outgoing connections
@@ -17,7 +17,7 @@
 
 class Addresses:
     """Holds the second byte for as long as it is not closed, by the name of an abstract socket: that goes
-    with the process that bound it, whatever its end. Raises Invalid where no net or port is free."""
+    with the process that bound it, whatever its end. Raises InvalidRunError where no net or port is free."""
 
     def __init__(self) -> None:
         self._lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
@@ -33,14 +33,14 @@
                 return net
             except OSError:
                 continue
-        raise Invalid("no free net in 127.64.0.0 to 127.191.255.255: too many runs side by side")
+        raise InvalidRunError("no free net in 127.64.0.0 to 127.191.255.255: too many runs side by side")
 
     def _free_port(self) -> int:
         for i in range(200):
             port = PORTS[(os.getpid() * 37 + i * 101) % len(PORTS)]
             if all(_free(f"127.{self.net}.{third}.1", port) for third in (NODES, PROXIES, DISCOVERY)):
                 return port
-        raise Invalid(f"no free port on 127.{self.net}.0.0/16")
+        raise InvalidRunError(f"no free port on 127.{self.net}.0.0/16")
 
     def close(self) -> None:
         self._lock.close()
@@ -58,7 +58,7 @@
     def _host(self, first: int, end: int, n: int) -> str:
         third = first + n // PER_NET
         if third >= end:
-            raise Invalid(f"more than {(end - first) * PER_NET} of one sort: too many for a live run")
+            raise InvalidRunError(f"more than {(end - first) * PER_NET} of one sort: too many for a live run")
         return f"127.{self.net}.{third}.{n % PER_NET + 1}"
 
 
--- a/slatelab/live/caller.py
+++ b/slatelab/live/client_pool.py
@@ -32,16 +32,16 @@
     status: int = 0
     body: bytes = b""
     retry_after_us: int = 0
-    why: str = ""
+    failure: str = ""
     over: bool = False
-    crossed: bool = False  # has been sent once more already
+    resent: bool = False  # has been sent once more already
     line: Line | None = None
-    pool: Pool | None = None
+    pool: ConnectionPool | None = None
 
     def end(self, why: str = "") -> None:
         if not self.over:
             self.over = True
-            self.why = why
+            self.failure = why
             self.line = None
             self.done(self)
 
@@ -56,7 +56,7 @@
 class Line(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: Transport | None = None
         self.exchange: Exchange | None = None
@@ -167,10 +167,10 @@
         self.abort()
         if exchange is None or exchange.over:
             return
-        if not unread or exchange.crossed:
+        if not unread or exchange.resent:
             return exchange.end(why)
         # Guards against calling lost what the proxy never read, as it closed a connection that rested.
-        exchange.crossed = True
+        exchange.resent = True
         exchange.sent_at = 0
         exchange.line = None
         self.pool.open(exchange)
@@ -181,7 +181,7 @@
             self.transport.abort()
 
 
-class Pool:
+class ConnectionPool:
     """Connections of one caller to one proxy. `surplus` hears of answers that nobody asked for."""
 
     def __init__(
--- a/slatelab/live/clock.py
+++ b/slatelab/live/clock.py
@@ -27,8 +27,8 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-class Wake:
-    """One call to come. `off` takes it back."""
+class ScheduledCall:
+    """One call to come. `cancel` takes it back."""
 
     __slots__ = ("call", "due")
 
@@ -36,7 +36,7 @@
         self.due = due
         self.call: Callable[[], None] | None = call
 
-    def off(self) -> None:
+    def cancel(self) -> None:
         self.call = None
 
 
@@ -46,7 +46,7 @@
     def __init__(self, loop: AbstractEventLoop, base: int) -> None:
         self.base = base
         self._loop = loop
-        self._heap: list[tuple[int, int, Wake]] = []
+        self._heap: list[tuple[int, int, ScheduledCall]] = []
         self._count = 0
         self._armed = 0
         self._fd = _libc.timerfd_create(time.CLOCK_MONOTONIC, NONBLOCK_CLOEXEC)
@@ -57,9 +57,9 @@
     def now(self) -> int:
         return time.monotonic_ns() // 1000 - self.base
 
-    def at(self, due: int, call: Callable[[], None]) -> Wake:
+    def at(self, due: int, call: Callable[[], None]) -> ScheduledCall:
         """Calls at `due`, never earlier; what is past is called as soon as the loop is free."""
-        wake = Wake(due, call)
+        wake = ScheduledCall(due, call)
         self._count += 1
         heapq.heappush(self._heap, (due, self._count, wake))
         if not self._armed or due < self._armed:
--- a/slatelab/live/link.py
+++ b/slatelab/live/control_channel.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Common:
+class JobContext:
     """What each part is told: its name, `base` (CLOCK_MONOTONIC where the run's own time begins), where its
     facts go."""
 
@@ -89,16 +89,16 @@
 
 class Job(Protocol):
     @property
-    def common(self) -> Common: ...
+    def context(self) -> JobContext: ...
 
-    def part(self, far: Far) -> Part: ...
+    def part(self, far: HelperChannel) -> Part: ...
 
 
-class Far(asyncio.Protocol):
+class HelperChannel(asyncio.Protocol):
     """The emulating process's end, and what its part stands on. Facts are in `clock` time; a part that counts
     from the day's first moment itself sets `by_day`."""
 
-    def __init__(self, loop: AbstractEventLoop, common: Common) -> None:
+    def __init__(self, loop: AbstractEventLoop, common: JobContext) -> None:
         self.loop = loop
         self.name = common.name
         self.clock = Clock(loop, common.base)
@@ -183,7 +183,7 @@
 
 async def _play(job: Job, fd: int) -> int:
     loop = asyncio.get_running_loop()
-    far = Far(loop, job.common)
+    far = HelperChannel(loop, job.context)
     loop.set_exception_handler(far.fault)
     sock = socket.socket(fileno=fd)
     await loop.create_connection(lambda: far, sock=sock)
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -17,24 +17,24 @@
 
 import httptools
 
-from slatelab.plant.faults import Change
+from slatelab.plant.faults import FaultEvent
 from slatelab.plant.fleet import NodeSpec
-from slatelab.plant.registry import GONE, Answer, Registry
-from slatelab.plant.settings import member
+from slatelab.plant.registry import PHASE_DELETED, Registry, RegistryResponse
+from slatelab.plant.settings import member_entry
 from slatelab.records import Polled, Told
 from slatelab.scenario import Scenario
 
-from .clock import Wake
-from .link import Common, Far, Message, Part
-from .places import listener
-from .visit import LINGER_0
+from .addresses import listener
+from .clock import ScheduledCall
+from .control_channel import HelperChannel, JobContext, Message, Part
+from .server_connection import LINGER_0
 
 LONGEST_WAIT_MS = 60_000
 PATH = "/v1/endpoints"
 
 
 @dataclass(frozen=True, slots=True)
-class Desk:
+class DiscoveryEndpoint:
     """Where one proxy asks."""
 
     proxy: str
@@ -45,25 +45,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryJob:
-    common: Common
+    context: JobContext
     scenario: Scenario
-    desks: list[Desk]
+    desks: list[DiscoveryEndpoint]
     nodes: list[tuple[NodeSpec, str]]  # those that stand at the beginning, and their host:port
     unix_us: int  # Unix time where the run's own time begins
-    changes: list[Change]
+    changes: list[FaultEvent]
 
-    def part(self, far: Far) -> Part:
+    def part(self, far: HelperChannel) -> Part:
         return Discovery(self, far)
 
 
 class Ask(asyncio.Protocol):
     """A proxy's connection. `ticket` is the call now on it, 0: none."""
 
-    def __init__(self, asked: Callable[[Ask, str], None], left: Callable[[Ask], None], desk: Desk) -> None:
-        self.asked, self.left, self.desk = asked, left, desk
+    def __init__(
+        self, asked: Callable[[Ask, str], None], left: Callable[[Ask], None], desk: DiscoveryEndpoint
+    ) -> None:
+        self.asked, self.left, self.endpoint = asked, left, desk
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
-        self.ticket = 0
+        self.call_id = 0
         self.url = b""
 
     def connection_made(self, transport: BaseTransport) -> None:
@@ -101,23 +103,23 @@
 
 
 class Discovery:
-    def __init__(self, job: DiscoveryJob, far: Far) -> None:
-        self.job, self.far = job, far
+    def __init__(self, job: DiscoveryJob, far: HelperChannel) -> None:
+        self.job, self.channel = job, far
         self.registry: Registry
         self.specs = {spec.id: spec for spec, _ in job.nodes}
         self.calls: dict[int, Ask] = {}  # by ticket
         self.told: dict[str, set[str]] = {}  # by proxy: the nodes that it was told of last
         self.tickets = count(1)
-        self._wake: Wake | None = None
+        self._wake: ScheduledCall | None = None
 
     async def open(self) -> None:
-        now = self.far.clock.now()  # one moment for all: so they stand from the beginning
+        now = self.channel.clock.now()  # one moment for all: so they stand from the beginning
         self.registry = Registry(self.job.scenario, now)
         for spec, where in self.job.nodes:
-            self.registry.set(now, spec.id, "SERVING", spec.tier, where, 0)
+            self.registry.set_node(now, spec.id, "SERVING", spec.tier, where, 0)
         for desk in self.job.desks:
             sock = listener(desk.host, desk.port)
-            await self.far.loop.create_server(partial(Ask, self._asked, self._left, desk), sock=sock)
+            await self.channel.loop.create_server(partial(Ask, self._asked, self._left, desk), sock=sock)
 
     def hear(self, message: Message) -> None:
         if message["do"] == "change":
@@ -131,18 +133,18 @@
         node, since = message["node"], message["since"]
         if node not in self.specs:  # it has taken the place of another
             self.specs[node] = NodeSpec(node, spec.tier, spec.kind, spec.speed, spec.address)
-        now = self.far.clock.now()
-        self.registry.set(now, node, message["phase"], spec.tier, message["where"], since)
+        now = self.channel.clock.now()
+        self.registry.set_node(now, node, message["phase"], spec.tier, message["where"], since)
 
-    def _change(self, change: Change) -> None:
-        now = self.far.clock.now()
+    def _change(self, change: FaultEvent) -> None:
+        now = self.channel.clock.now()
         if change.kind == "discovery-down":
-            for ticket in self.registry.down(now, change.begins):
+            for ticket in self.registry.set_down(now, change.is_start):
                 if ask := self.calls.pop(ticket, None):
                     ask.reset()
         elif change.kind == "discovery-lies":
-            self.registry.lie(
-                now, self.specs[change.targets[0]].tier, change.targets if change.begins else ()
+            self.registry.set_false_deletions(
+                now, self.specs[change.targets[0]].tier, change.targets if change.is_start else ()
             )
 
     # ------------------------------------------------------------ calls
@@ -151,53 +153,57 @@
         parts = urlsplit(url)
         if parts.path != PATH:
             return ask.answer("404 Not Found", b"")
-        now, query = self.far.clock.now(), parse_qs(parts.query)
+        now, query = self.channel.clock.now(), parse_qs(parts.query)
         since = _number(query, "since")
         wait_ms = min(_number(query, "timeout_ms") or 0, LONGEST_WAIT_MS)
-        ask.ticket = next(self.tickets)
-        self.calls[ask.ticket] = ask
-        if ask.desk.proxy:  # the lab itself asks aside
-            self.far.facts.add(Polled(now, ask.desk.proxy))
-        self.registry.ask(now, ask.desk.proxy, ask.desk.tier, since, wait_ms * 1000, ask.ticket)
+        ask.call_id = next(self.tickets)
+        self.calls[ask.call_id] = ask
+        if ask.endpoint.proxy:  # the lab itself asks aside
+            self.channel.facts.add(Polled(now, ask.endpoint.proxy))
+        self.registry.receive_call(
+            now, ask.endpoint.proxy, ask.endpoint.tier, since, wait_ms * 1000, ask.call_id
+        )
         self._turn()
 
     def _left(self, ask: Ask) -> None:
-        if self.calls.pop(ask.ticket, None):
-            self.registry.forget(ask.ticket)
-        ask.ticket = 0
+        if self.calls.pop(ask.call_id, None):
+            self.registry.cancel_call(ask.call_id)
+        ask.call_id = 0
 
     def _turn(self) -> None:
         """Writes what is ready, and sets the time of the next."""
-        for answer in self.registry.advance(self.far.clock.now()):
-            if ask := self.calls.pop(answer.ticket, None):
-                ask.ticket = 0
+        for answer in self.registry.advance(self.channel.clock.now()):
+            if ask := self.calls.pop(answer.call_id, None):
+                ask.call_id = 0
                 self._write(ask, answer)
         if self._wake:
-            self._wake.off()
-        due = self.registry.due()
-        self._wake = None if due is None else self.far.clock.at(due, self._turn)
+            self._wake.cancel()
+        due = self.registry.next_event_time()
+        self._wake = None if due is None else self.channel.clock.at(due, self._turn)
 
-    def _write(self, ask: Ask, answer: Answer) -> None:
+    def _write(self, ask: Ask, answer: RegistryResponse) -> None:
         if answer.status != 200:
             return ask.answer(f"{answer.status} Service Unavailable", b"")
         members = [
-            member(self.specs[shown.node], shown.host_port, shown.phase, self._unix_ms(shown.since_us))
+            member_entry(
+                self.specs[shown.node], shown.host_port, shown.phase, self._unix_ms(shown.started_at_us)
+            )
             for shown in answer.entries
         ]
         tree = {"revision": answer.revision, "complete": answer.complete, "members": members}
         ask.answer("200 OK", json.dumps(tree).encode())
-        if ask.desk.proxy:
-            self._record(ask.desk.proxy, answer)
+        if ask.endpoint.proxy:
+            self._record(ask.endpoint.proxy, answer)
 
-    def _record(self, proxy: str, answer: Answer) -> None:
+    def _record(self, proxy: str, answer: RegistryResponse) -> None:
         """A node that a whole list leaves out has been told as gone."""
-        now, told = self.far.clock.now(), self.told.setdefault(proxy, set())
+        now, told = self.channel.clock.now(), self.told.setdefault(proxy, set())
         for shown in answer.entries:
-            self.far.facts.add(Told(now, proxy, shown.node, shown.phase, shown.since_us))
-        here = {shown.node for shown in answer.entries if shown.phase != GONE}
+            self.channel.facts.add(Told(now, proxy, shown.node, shown.phase, shown.started_at_us))
+        here = {shown.node for shown in answer.entries if shown.phase != PHASE_DELETED}
         for node in sorted(told - here) if answer.complete else ():
-            self.far.facts.add(Told(now, proxy, node, GONE))
-        gone = {shown.node for shown in answer.entries if shown.phase == GONE}
+            self.channel.facts.add(Told(now, proxy, node, PHASE_DELETED))
+        gone = {shown.node for shown in answer.entries if shown.phase == PHASE_DELETED}
         self.told[proxy] = here if answer.complete else (told | here) - gone
 
     def _unix_ms(self, since_us: int) -> int:
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -14,14 +14,14 @@
 from pathlib import Path
 from typing import Any
 
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 
+from .control_channel import Job, JobContext, Message, Near, pair
 from .discovery import DiscoveryJob
-from .link import Common, Job, Message, Near, pair
 from .load import LoadJob
 from .nodes import NodesJob
 from .plan import Plan
-from .supervise import Child, Keeper
+from .supervisor import Child, ProcessSupervisor
 
 ROOT = Path(__file__).resolve().parents[2]
 STALLED_US = 50_000  # from here on a stall is told to the reader
@@ -48,11 +48,11 @@
     def __init__(
         self,
         scratch: Path,
-        keeper: Keeper,
+        keeper: ProcessSupervisor,
         said: Callable[[Helper, str, Message], None],
         fail: Callable[[Exception], None],
     ) -> None:
-        self.scratch, self.keeper, self.said, self.fail = scratch, keeper, said, fail
+        self.scratch, self.supervisor, self.said, self.fail = scratch, keeper, said, fail
         self.loop = asyncio.get_running_loop()
         self.helpers: list[Helper] = []
 
@@ -74,20 +74,20 @@
         ]
         self.load = self._start(LoadJob(common("load"), scenario, seed, folder, doors, stall))
 
-    def _common(self, base: int, name: str) -> Common:
-        return Common(name, base, self.scratch / f"{name}.jsonl")
+    def _common(self, base: int, name: str) -> JobContext:
+        return JobContext(name, base, self.scratch / f"{name}.jsonl")
 
     def _start(self, job: Job) -> Helper:
-        name, path = job.common.name, self.scratch / f"{job.common.name}.job"
+        name, path = job.context.name, self.scratch / f"{job.context.name}.job"
         path.write_bytes(pickle.dumps(job))
         ours, theirs = pair()
         command = [sys.executable, "-m", "slatelab.live.helper", str(theirs.fileno()), str(path)]
         env = {**os.environ, "PYTHONPATH": str(ROOT)}  # slatelab as the lab itself has it
         with theirs, (self.scratch / f"{name}.log").open("wb") as log:
-            child = self.keeper.start(
+            child = self.supervisor.start(
                 name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(theirs.fileno(),)
             )
-        helper = Helper(name, Near(ours), child, job.common.facts)
+        helper = Helper(name, Near(ours), child, job.context.facts)
         self.helpers.append(helper)
         self.loop.add_reader(ours, self._guarded, self._hear, helper)
         self.loop.add_reader(child.pidfd, self._guarded, self._ended, helper)
@@ -145,7 +145,7 @@
             helper.done = message
             helper.handed_over.set()
         elif say == "invalid":
-            self.fail(Invalid(message["text"]))
+            self.fail(InvalidRunError(message["text"]))
         else:
             if say == "tick":
                 helper.tick = message
@@ -157,8 +157,10 @@
         while (messages := helper.near.hear()) is not None:  # its last words come first
             for message in messages:
                 self._take(helper, message)
-        code = self.keeper.reap(helper.child)
+        code = self.supervisor.reap(helper.child)
         if helper.done is None:
             lines = (self.scratch / f"{helper.name}.log").read_text(errors="replace").splitlines()
             said = f": {lines[-1]}" if lines else ""
-            raise Invalid(f"{helper.name}, a process of the lab, ended by itself with code {code}{said}")
+            raise InvalidRunError(
+                f"{helper.name}, a process of the lab, ended by itself with code {code}{said}"
+            )
--- a/slatelab/live/front.py
+++ b/slatelab/live/front.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from slatelab.plant.fleet import turns
+from slatelab.plant.fleet import weighted_round_robin
 
-from .caller import Exchange, Pool
+from .client_pool import ConnectionPool, Exchange
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,9 +54,11 @@
         surplus: Callable[[Exchange, int, bytes], None],
         skew: int = 1,
     ) -> None:
-        self.pools = {door.proxy: Pool(loop, now, (door.host, door.port), surplus) for door in doors}
+        self.pools = {
+            door.proxy: ConnectionPool(loop, now, (door.host, door.port), surplus) for door in doors
+        }
         self.used = dict.fromkeys(self.pools, True)
-        self.names = [doors[place].proxy for place in turns(len(doors), skew)]
+        self.names = [doors[place].proxy for place in weighted_round_robin(len(doors), skew)]
         self.most = most
         self.waiting: deque[Passage] = deque()
         self._turn = 0
--- a/slatelab/live/gate.py
+++ b/slatelab/live/gate.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Iterator
 from contextlib import suppress
 
-from .places import listener
-from .visit import LINGER_0, Visit
+from .addresses import listener
+from .server_connection import LINGER_0, ServerConnection
 
 TURN = 64  # connections accepted before others get their turn
 BACKLOG = 4096
@@ -19,7 +19,9 @@
     """Open from the start; `visit` makes the protocol of each connection. Raises OSError where it cannot
     listen."""
 
-    def __init__(self, loop: AbstractEventLoop, host: str, port: int, visit: Callable[[], Visit]) -> None:
+    def __init__(
+        self, loop: AbstractEventLoop, host: str, port: int, visit: Callable[[], ServerConnection]
+    ) -> None:
         self._loop, self._address, self._visit = loop, (host, port), visit
         self._fillers: list[socket.socket] = []
         self._door = listener(host, port, BACKLOG)
@@ -31,7 +33,7 @@
         self._door.close()
         self._unfill()
 
-    def cut_off(self) -> None:
+    def isolate(self) -> None:
         """No connection comes up: the kernel drops who knocks at a listener whose queue is full, and it is
         filled here with connections of our own."""
         self._loop.remove_reader(self._door)
@@ -43,7 +45,7 @@
                 sock.connect(self._address)
             self._fillers.append(sock)
 
-    def reach_again(self) -> None:
+    def end_isolation(self) -> None:
         """Who got into the queue meanwhile is reset."""
         self._unfill()
         for sock in self._knocking():
--- a/slatelab/live/helper.py
+++ b/slatelab/live/helper.py
@@ -3,7 +3,7 @@
 import sys
 from pathlib import Path
 
-from slatelab.live.link import main
+from slatelab.live.control_channel import main
 
 if __name__ == "__main__":
     main(int(sys.argv[1]), Path(sys.argv[2]))
--- a/slatelab/live/load.py
+++ b/slatelab/live/load.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 
 from slatelab.plant import client, workload
-from slatelab.plant.client import End
-from slatelab.plant.draw import Draw
+from slatelab.plant.client import AttemptOutcome
+from slatelab.plant.random_streams import RandomStreams
 from slatelab.plant.workload import Order
 from slatelab.records import Answered, Asked, BrokenOff, GaveUp
 from slatelab.scenario import Scenario
 
-from .caller import Exchange, request_of, token_of
-from .clock import Wake
+from .client_pool import Exchange, request_of, token_of
+from .clock import ScheduledCall
+from .control_channel import HelperChannel, JobContext, Message, Part
 from .front import Door, Front, Passage
-from .late import Lateness
-from .link import Common, Far, Message, Part
+from .schedule_lag import ScheduleLag
 from .wire import request_bytes
 
 MOST_LATENCIES = 2000  # in one tick
@@ -32,14 +32,14 @@
     """`stall`: at which microsecond of the day the generator is to stand still and for how long, for
     tests."""
 
-    common: Common
+    context: JobContext
     scenario: Scenario
     seed: int
     folder: Path
     doors: list[Door]
     stall: tuple[int, int] | None = None
 
-    def part(self, far: Far) -> Part:
+    def part(self, far: HelperChannel) -> Part:
         return Load(self, far)
 
 
@@ -50,7 +50,7 @@
     intended: int
     until: int
     passage: Passage | None = None
-    wake: Wake | None = None
+    wake: ScheduledCall | None = None
 
     @property
     def request(self) -> str:
@@ -58,12 +58,12 @@
 
 
 class Load:
-    def __init__(self, job: LoadJob, far: Far) -> None:
-        self.job, self.far, self.scenario = job, far, job.scenario
+    def __init__(self, job: LoadJob, far: HelperChannel) -> None:
+        self.job, self.channel, self.scenario = job, far, job.scenario
         far.by_day = True
-        self.draw = Draw(job.seed)
+        self.random_streams = RandomStreams(job.seed)
         self.orders: list[Order] = []
-        self.late = Lateness()
+        self.late = ScheduleLag()
         self.front = Front(
             far.loop, far.clock.now, job.doors, job.scenario.clients.connections, self._surplus,
             job.scenario.tiers[0].skew,
@@ -75,14 +75,14 @@
         self.told_over = False
 
     async def open(self) -> None:
-        self.orders = workload.orders(self.scenario, self.draw, self.job.folder)
+        self.orders = workload.generate_orders(self.scenario, self.random_streams, self.job.folder)
 
     def hear(self, message: Message) -> None:
         if message["do"] == "go":
             self._wait()
             if self.job.stall:
                 at, span = self.job.stall
-                self.far.clock.at(at, lambda: time.sleep(span / 1e6))
+                self.channel.clock.at(at, lambda: time.sleep(span / 1e6))
         elif message["do"] == "front":
             self.front.take(message["proxy"], message["used"])
 
@@ -90,12 +90,12 @@
 
     def _wait(self) -> None:
         if self.begun < len(self.orders):
-            self.far.clock.at(self.orders[self.begun].at, self._due)
+            self.channel.clock.at(self.orders[self.begun].at, self._due)
         else:
             self._look_over()
 
     def _due(self) -> None:
-        now = self.far.clock.now()
+        now = self.channel.clock.now()
         while self.begun < len(self.orders) and self.orders[self.begun].at <= now:
             order = self.orders[self.begun]
             self.begun += 1
@@ -104,11 +104,11 @@
         self._wait()
 
     def _send(self, order: Order, attempt: int, intended: int) -> None:
-        self.late.note(intended, self.far.clock.now() - intended)
-        one = Try(order, attempt, intended, client.until(self.scenario, order, intended))
+        self.late.record(intended, self.channel.clock.now() - intended)
+        one = Try(order, attempt, intended, client.attempt_timeout_at(self.scenario, order, intended))
         # A little longer than it says: an answer that is on its way must not be taken for none.
         patience = one.until + self.scenario.rules.answer_slack
-        one.wake = self.far.clock.at(patience, partial(self._give_up, one))
+        one.wake = self.channel.clock.at(patience, partial(self._give_up, one))
         one.passage = Passage(partial(self._write, one), partial(self._ended, one))
         self.front.send(one.passage)
 
@@ -121,7 +121,7 @@
             "path": "",
             "proxy": proxy,
         }
-        left = max(1, one.until - self.far.clock.now())
+        left = max(1, one.until - self.channel.clock.now())
         retried = one.attempt > 0 and self.scenario.clients.marks_retry
         cls, alike = self.scenario.classes[order.cls], self.scenario.clients.alike
         return request_bytes(cls, one.request, self._tenant(order), left, figures, retried, alike)
@@ -132,19 +132,19 @@
     # ------------------------------------------------------------ ends
 
     def _ended(self, one: Try, exchange: Exchange | None) -> None:
-        now, request = self.far.clock.now(), one.request
+        now, request = self.channel.clock.now(), one.request
         assert one.wake and one.passage
-        one.wake.off()
+        one.wake.cancel()
         self._note_asked(one, exchange)
         if exchange is None or not exchange.status:
             sent = exchange is not None and exchange.sent_at > 0
-            self.far.facts.add(
-                BrokenOff(now, request, sent, exchange.why if exchange else "no proxy takes it")
+            self.channel.facts.add(
+                BrokenOff(now, request, sent, exchange.failure if exchange else "no proxy takes it")
             )
             return self._after(one, "gone" if sent else "unheard", 0)
         token = token_of(exchange.body)
-        self.far.facts.add(Answered(now, request, exchange.status, token, exchange.retry_after_us))
-        end: End = (
+        self.channel.facts.add(Answered(now, request, exchange.status, token, exchange.retry_after_us))
+        end: AttemptOutcome = (
             "served" if exchange.status == 200 else "refused" if exchange.status in (429, 503) else "failed"
         )
         self._after(one, end, exchange.retry_after_us)
@@ -153,7 +153,7 @@
         assert one.passage
         one.passage.give_up()
         self._note_asked(one, one.passage.exchange)
-        self.far.facts.add(GaveUp(self.far.clock.now(), one.request))
+        self.channel.facts.add(GaveUp(self.channel.clock.now(), one.request))
         self._after(one, "gave-up", 0)
         self.front.freed()
 
@@ -165,15 +165,15 @@
             exchange.sent_at, one.request, one.attempt, f"c{order.number}", one.passage.proxy, 0, cls,
             self._tenant(order), one.intended, one.until,
         )  # fmt: skip
-        self.far.facts.add(asked)
+        self.channel.facts.add(asked)
 
-    def _after(self, one: Try, end: End, retry_after_us: int) -> None:
-        order, now = one.order, self.far.clock.now()
+    def _after(self, one: Try, end: AttemptOutcome, retry_after_us: int) -> None:
+        order, now = one.order, self.channel.clock.now()
         if end != "served":
-            rng = self.draw.stream("client", order.number, one.attempt)
-            again = client.after(self.scenario, order, one.attempt, now, end, retry_after_us, rng)
+            rng = self.random_streams.stream("client", order.number, one.attempt)
+            again = client.next_retry(self.scenario, order, one.attempt, now, end, retry_after_us, rng)
             if again:
-                self.far.clock.at(again.at, partial(self._send, order, one.attempt + 1, again.at))
+                self.channel.clock.at(again.at, partial(self._send, order, one.attempt + 1, again.at))
                 return
         self.pending -= 1
         self.counts[end if end in self.counts else "failed"] += 1
@@ -184,19 +184,19 @@
     def _surplus(self, last: Exchange, status: int, body: bytes) -> None:
         """An answer that nobody asked for: the judge takes it for a second one to the last request."""
         token = token_of(body)
-        self.far.facts.add(Answered(self.far.clock.now(), request_of(last.data), status, token))
+        self.channel.facts.add(Answered(self.channel.clock.now(), request_of(last.data), status, token))
 
     def _look_over(self) -> None:
         if not self.told_over and not self.pending and self.begun == len(self.orders):
             self.told_over = True
-            self.far.say("over")
+            self.channel.say("over")
 
     # ------------------------------------------------------------ the lab's questions
 
     def tick(self) -> Message:
         latencies, self.latencies = self.latencies, []
-        return {"t": self.far.clock.now(), "asked": self.begun, "latencies": latencies, **self.counts}
+        return {"t": self.channel.clock.now(), "asked": self.begun, "latencies": latencies, **self.counts}
 
     def close(self) -> Message:
         self.front.close()
-        return {"late_p99_us": self.late.p99_us, "complaint": self.late.complaint()}
+        return {"late_p99_us": self.late.p99_us, "complaint": self.late.invalid_reason()}
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -8,41 +8,41 @@
 from functools import partial
 from typing import Any
 
-from slatelab.plant.draw import Draw
-from slatelab.plant.faults import Change, Standing
+from slatelab.plant.faults import ActiveFaults, FaultEvent
+from slatelab.plant.random_streams import RandomStreams
 from slatelab.scenario import Scenario
 
-from .link import Common, Far, Message, Part
-from .place import Place, Site
+from .control_channel import HelperChannel, JobContext, Message, Part
+from .emulated_node import EmulatedNode, NodeLocation
 
 SWEEP_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class NodesJob:
-    common: Common
+    context: JobContext
     scenario: Scenario
     seed: int
-    sites: list[Site]
-    changes: list[Change]  # of the whole day; the lab says by number when one is due
+    sites: list[NodeLocation]
+    changes: list[FaultEvent]  # of the whole day; the lab says by number when one is due
 
-    def part(self, far: Far) -> Part:
+    def part(self, far: HelperChannel) -> Part:
         return Nodes(self, far)
 
 
 class Nodes:
-    def __init__(self, job: NodesJob, far: Far) -> None:
-        self.job, self.far = job, far
-        self.standing = Standing(job.scenario)
-        draw = Draw(job.seed)
-        self.places = {
-            site.spec.id: Place(far, job.scenario, draw, site, partial(self._told, site.spec.id))
+    def __init__(self, job: NodesJob, far: HelperChannel) -> None:
+        self.job, self.channel = job, far
+        self.active_faults = ActiveFaults(job.scenario)
+        draw = RandomStreams(job.seed)
+        self.emulated_nodes = {
+            site.spec.id: EmulatedNode(far, job.scenario, draw, site, partial(self._told, site.spec.id))
             for site in job.sites
         }
 
     async def open(self) -> None:
-        for name, place in self.places.items():
-            place.up(False, self.standing.of(name), False)
+        for name, place in self.emulated_nodes.items():
+            place.start(False, self.active_faults.conditions_for(name), False)
         self._sweep()
 
     def hear(self, message: Message) -> None:
@@ -50,45 +50,52 @@
             self._change(self.job.changes[message["n"]])
         elif message["do"] == "start":
             name = message["place"]
-            self.places[name].again(message["renewed"], self.standing.of(name), self.standing.cut(name))
-
-    def _change(self, change: Change) -> None:
-        for name, condition in self.standing.note(change):
-            if place := self.places.get(name):
-                place.set(condition)
+            self.emulated_nodes[name].restart(
+                message["renewed"],
+                self.active_faults.conditions_for(name),
+                self.active_faults.is_black_holed(name),
+            )
+
+    def _change(self, change: FaultEvent) -> None:
+        for name, condition in self.active_faults.apply(change):
+            if place := self.emulated_nodes.get(name):
+                place.set_condition(condition)
         for name in change.targets:
-            if place := self.places.get(name):
+            if place := self.emulated_nodes.get(name):
                 self._befall(place, name, change)
 
-    def _befall(self, place: Place, name: str, change: Change) -> None:
-        if change.kind == "black-hole" and self.standing.cut(name):
-            place.cut_off()
+    def _befall(self, place: EmulatedNode, name: str, change: FaultEvent) -> None:
+        if change.kind == "black-hole" and self.active_faults.is_black_holed(name):
+            place.isolate()
         elif change.kind == "black-hole":
-            place.reach_again()
+            place.end_isolation()
         elif deed := DEEDS.get(change.kind):
             deed(place, change)
 
     def tick(self) -> Message:
-        nodes = [(p.spec.id, p.state, p.machine.held if p.machine else 0) for p in self.places.values()]
-        return {"nodes": nodes, "open": sum(len(p.outs) for p in self.places.values())}
+        nodes = [
+            (p.spec.id, p.state, p.simulator.pending_requests if p.simulator else 0)
+            for p in self.emulated_nodes.values()
+        ]
+        return {"nodes": nodes, "open": sum(len(p.outs) for p in self.emulated_nodes.values())}
 
     def close(self) -> Message:
-        for place in self.places.values():
+        for place in self.emulated_nodes.values():
             place.close()
         return {"open": 0}
 
     def _told(self, name: str, say: str, **more: Any) -> None:
-        self.far.say(say, place=name, **more)
+        self.channel.say(say, place=name, **more)
 
     def _sweep(self) -> None:
-        for place in self.places.values():
+        for place in self.emulated_nodes.values():
             place.close_idle()
-        self.far.loop.call_later(SWEEP_S, self._sweep)
+        self.channel.loop.call_later(SWEEP_S, self._sweep)
 
 
-DEEDS: dict[str, Callable[[Place, Change], None]] = {
-    "kill": lambda place, change: place.down("killed"),
-    "stop": lambda place, change: place.down("stopped"),
+DEEDS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
+    "kill": lambda place, change: place.crash("killed"),
+    "stop": lambda place, change: place.crash("stopped"),
     "drain": lambda place, change: place.drain(),
     "reset": lambda place, change: place.break_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
 }
--- a/slatelab/live/outs.py
+++ b/slatelab/live/outs.py
@@ -9,12 +9,12 @@
 
 from msgspec.structs import replace
 
-from slatelab.plant.node import CallOut
+from slatelab.plant.node import DownstreamCall
 from slatelab.records import Answered, Asked, BrokenOff, GaveUp
 
-from .caller import Exchange, Pool, request_of, token_of
-from .clock import Wake
-from .link import Far
+from .client_pool import ConnectionPool, Exchange, request_of, token_of
+from .clock import ScheduledCall
+from .control_channel import HelperChannel
 
 Key = tuple[int, int]  # the attempt and the index of the call for it
 
@@ -25,7 +25,7 @@
 
     asked: Asked
     exchange: Exchange
-    wake: Wake
+    wake: ScheduledCall
 
 
 class Outs:
@@ -33,16 +33,20 @@
     than it said the node waits, so that an answer on its way is not taken for none."""
 
     def __init__(
-        self, far: Far, proxy: tuple[str, int], slack: int, returned: Callable[[int, int, bool], None]
+        self,
+        far: HelperChannel,
+        proxy: tuple[str, int],
+        slack: int,
+        returned: Callable[[int, int, bool], None],
     ) -> None:
         self._far, self._slack, self._returned = far, slack, returned
-        self._pool = Pool(far.loop, far.clock.now, proxy, self._surplus)
+        self._pool = ConnectionPool(far.loop, far.clock.now, proxy, self._surplus)
         self._out: dict[Key, Out] = {}
 
     def __len__(self) -> int:
         return len(self._out)
 
-    def send(self, act: CallOut, asked: Asked, data: bytes) -> None:
+    def send(self, act: DownstreamCall, asked: Asked, data: bytes) -> None:
         """`asked` is what will have been seen once the call has been written."""
         key = (act.key, act.index)
         exchange = Exchange(data, partial(self._ended, key))
@@ -62,14 +66,14 @@
 
     def _ended(self, key: Key, exchange: Exchange) -> None:
         out, now = self._out.pop(key), self._far.clock.now()
-        out.wake.off()
+        out.wake.cancel()
         self._note_asked(out)
         request = out.asked.request
         if exchange.status:
             wait = exchange.retry_after_us
             self._far.facts.add(Answered(now, request, exchange.status, token_of(exchange.body), wait))
         else:
-            self._far.facts.add(BrokenOff(now, request, exchange.sent_at > 0, exchange.why))
+            self._far.facts.add(BrokenOff(now, request, exchange.sent_at > 0, exchange.failure))
         self._returned(*key, exchange.status == 200)
 
     def _late(self, key: Key) -> None:
@@ -78,7 +82,7 @@
 
     def _give_up(self, key: Key) -> None:
         out = self._out.pop(key)
-        out.wake.off()
+        out.wake.cancel()
         out.exchange.give_up()
         self._note_asked(out)
         self._far.facts.add(GaveUp(self._far.clock.now(), out.asked.request))
--- a/slatelab/live/between.py
+++ b/slatelab/live/peer_network.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from random import Random
 
-from slatehub.settings import keys
-from slatelab.peers.faults import carry_out
-from slatelab.peers.net import PeerNet
+from slatehub.settings import key_file
+from slatelab.peers.faults import apply_change
+from slatelab.peers.network import PeerNetwork
 from slatelab.peers.relay import Relay
-from slatelab.plant.faults import Change
+from slatelab.plant.faults import FaultEvent
 from slatelab.plant.fleet import ProxySpec
 from slatelab.scenario import Scenario
 
@@ -23,26 +23,27 @@
 
     def __init__(self, scenario: Scenario, proxies: list[ProxySpec], rng: Random, scratch: Path) -> None:
         self.terms, self.proxies = scenario.fleet, proxies
-        self.net = PeerNet(rng, self.terms.delay)
-        self.net.weather.lost = self.terms.lost
+        self.net = PeerNetwork(rng, self.terms.delay)
+        self.net.faults.loss = self.terms.lost
         self.key = scratch / "fleet.key"
         self.key.unlink(missing_ok=True)
-        keys.add(str(self.key), True)
+        key_file.add(str(self.key), True)
         self.relay = Relay(self.net, [proxy.name for proxy in proxies])
 
     def table(self, proxy: ProxySpec) -> str:
         """Its part of the operator's file."""
         tier = [other.name for other in self.proxies if other.tier == proxy.tier]
-        seeds = [_text(self.relay.advertised(name)) for name in tier[:SEEDS]]
+        seeds = [_text(self.relay.advertised_address(name)) for name in tier[:SEEDS]]
         rows = {
-            "listen": _text(self.relay.listens[proxy.name]), "advertise": _text(self.relay.advertised(proxy.name)),
+            "listen": _text(self.relay.listen_addresses[proxy.name]),
+            "advertise": _text(self.relay.advertised_address(proxy.name)),
             "seeds": seeds, "name": "lab", "key_file": str(self.key), "share": self.terms.share,
         }  # fmt: skip
         return "[fleet]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         with self.relay.lock:
-            carry_out(self.net, change, [proxy.name for proxy in self.proxies], self.terms.lost)
+            apply_change(self.net, change, [proxy.name for proxy in self.proxies], self.terms.lost)
 
     def close(self) -> None:
         self.relay.close()
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 from typing import Any
 
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 from slatelab.plant import faults, fleet, settings
-from slatelab.plant.draw import Draw
-from slatelab.plant.faults import Change
+from slatelab.plant.faults import FaultEvent
 from slatelab.plant.fleet import NodeSpec, ProxySpec
+from slatelab.plant.random_streams import RandomStreams
 from slatelab.scenario import Scenario
 
-from .discovery import Desk
+from .addresses import Addresses
+from .discovery import DiscoveryEndpoint
+from .emulated_node import NodeLocation
 from .front import Door
-from .place import Site
-from .places import Addresses
 
 MOST_PROXIES = 300  # processes of some 30 MB each
 NODES_EACH, RATE_EACH = 40, 1500  # nodes, and requests a second, for one emulating process
@@ -30,14 +30,14 @@
 @dataclass(slots=True)
 class Plan:
     scenario: Scenario
-    draw: Draw
+    random_streams: RandomStreams
     nodes: list[NodeSpec]
     proxies: list[ProxySpec]
-    changes: list[Change]
+    changes: list[FaultEvent]
     doors: dict[str, Door]  # by proxy
-    desks: dict[str, Desk]  # by proxy
-    asides: list[Desk]  # by tier: where the lab itself asks, unrecorded
-    sites: list[Site]
+    desks: dict[str, DiscoveryEndpoint]  # by proxy
+    asides: list[DiscoveryEndpoint]  # by tier: where the lab itself asks, unrecorded
+    sites: list[NodeLocation]
     tables: dict[str, str] = field(
         default_factory=dict
     )  # of the operator's file, beside the usual ones; by proxy
@@ -49,12 +49,12 @@
     def members(self, tier: int) -> list[dict[str, Any]]:
         """The nodes of a tier as they stand at the beginning."""
         return [
-            settings.member(site.spec, f"{site.host}:{site.port}", "SERVING", 0)
+            settings.member_entry(site.spec, f"{site.host}:{site.port}", "SERVING", 0)
             for site in self.sites
             if site.spec.tier == tier
         ]
 
-    def shares(self) -> list[list[Site]]:
+    def shares(self) -> list[list[NodeLocation]]:
         """The places, dealt out to as many processes as they need."""
         count = min(
             _most_processes(), max(ceil(len(self.sites) / NODES_EACH), ceil(_rate(self.scenario) / RATE_EACH))
@@ -73,34 +73,37 @@
     def write_config(self, path: Path, proxy: ProxySpec, members: list[dict[str, Any]], life: int) -> None:
         """Put in place whole, as a proxy may read it at any moment. Each life has a seed of its own."""
         door, desk = self.doors[proxy.name], self.desks[proxy.name]
-        seed = f"{self.draw.stream('proxy', proxy.name, life).getrandbits(64):016x}"
+        seed = f"{self.random_streams.stream('proxy', proxy.name, life).getrandbits(64):016x}"
         listen, asks = f"{door.host}:{door.port}", f"{desk.host}:{desk.port}"
-        tree = settings.config(self.scenario, proxy, listen, asks, members, seed)
+        tree = settings.build_config(self.scenario, proxy, listen, asks, members, seed)
         draft = path.with_suffix(".new")
         draft.write_text(json.dumps(tree, indent=1))
         os.replace(draft, path)
 
 
 def plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
-    """Raises ScenarioError, and Invalid where this machine cannot hold it."""
+    """Raises ScenarioError, and InvalidRunError where this machine cannot hold it."""
     if scenario.proxy.kind != "slatehub":
-        raise Invalid(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
-    draw = Draw(seed)
-    nodes = fleet.fleet(scenario, draw)
-    proxies = fleet.proxies(scenario, nodes)
+        raise InvalidRunError(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
+    draw = RandomStreams(seed)
+    nodes = fleet.build_nodes(scenario, draw)
+    proxies = fleet.build_proxies(scenario, nodes)
     if len(proxies) > MOST_PROXIES:
-        raise Invalid(f"{len(proxies)} proxies: more than the {MOST_PROXIES} that a live run starts")
+        raise InvalidRunError(f"{len(proxies)} proxies: more than the {MOST_PROXIES} that a live run starts")
     doors = {p.name: Door(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
-    desks = {p.name: Desk(p.name, p.tier, at.discovery(i), at.port) for i, p in enumerate(proxies)}
+    desks = {
+        p.name: DiscoveryEndpoint(p.name, p.tier, at.discovery(i), at.port) for i, p in enumerate(proxies)
+    }
     asides = [
-        Desk("", tier, at.discovery(len(proxies) + tier), at.port) for tier in range(len(scenario.tiers))
+        DiscoveryEndpoint("", tier, at.discovery(len(proxies) + tier), at.port)
+        for tier in range(len(scenario.tiers))
     ]
-    own = {p.owner: p.name for p in proxies if p.owner}
+    own = {p.owner_node: p.name for p in proxies if p.owner_node}
     sites = [
-        Site(n, at.node(i), at.port, own.get(n.id, ""), doors[own[n.id]].host if n.id in own else "")
+        NodeLocation(n, at.node(i), at.port, own.get(n.id, ""), doors[own[n.id]].host if n.id in own else "")
         for i, n in enumerate(nodes)
     ]
-    changes = faults.schedule(scenario, draw, nodes, proxies)
+    changes = faults.build_fault_schedule(scenario, draw, nodes, proxies)
     return Plan(scenario, draw, nodes, proxies, changes, doors, desks, asides, sites)
 
 
--- a/slatelab/live/crew.py
+++ b/slatelab/live/proxy_processes.py
@@ -15,13 +15,13 @@
 from pathlib import Path
 from typing import IO, Any
 
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 from slatelab.plant.fleet import ProxySpec
 from slatelab.records import Fact, Logged, ProxyDown, ProxyUp
 
 from .logs import parse
 from .plan import Plan
-from .supervise import Child, Keeper
+from .supervisor import Child, ProcessSupervisor
 
 READY_WITHIN_S = 30.0
 LOOK_EVERY_S = 0.05
@@ -89,7 +89,7 @@
         reading, writing = os.pipe()
         command = [sys.executable, "-B", "-m", "slatehub", "serve"]
         try:
-            self.child = crew.keeper.start(self.name, command, cwd=crew.tree, env=env, stderr=writing)
+            self.child = crew.supervisor.start(self.name, command, cwd=crew.tree, env=env, stderr=writing)
         finally:
             os.close(writing)
         log = (crew.folder / f"{self.name}.log").open("ab")
@@ -120,13 +120,13 @@
         self._down("killed")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.keeper.signal(self.child, signal.SIGKILL)
+        self.crew.supervisor.signal(self.child, signal.SIGKILL)
         self._leave_front(NOTICED_S)
 
     def freeze(self, begins: bool) -> None:
         """SIGSTOP or SIGCONT; nothing if it is down."""
         if self.child:
-            self.crew.keeper.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
+            self.crew.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
 
     def stop(self) -> None:
         """SIGTERM; nothing if it is down or stopping."""
@@ -135,7 +135,7 @@
         self._down("planned")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.keeper.signal(self.child, signal.SIGTERM)
+        self.crew.supervisor.signal(self.child, signal.SIGTERM)
         self._leave_front(WITHDRAWN_S)
 
     def stop_now(self) -> None:
@@ -148,7 +148,7 @@
         members = await self.crew.members(self.spec.tier)
         if self.child and self.state == "up":
             self.crew.plan.write_config(self.config, self.spec, members, self.life)
-            self.crew.keeper.signal(self.child, signal.SIGHUP)
+            self.crew.supervisor.signal(self.child, signal.SIGHUP)
 
     def _down(self, why: str) -> None:
         if self.ends_as != why:
@@ -166,7 +166,7 @@
 
     def _ended(self, child: Child) -> None:
         self.crew.loop.remove_reader(child.pidfd)
-        code = self.crew.keeper.reap(child)
+        code = self.crew.supervisor.reap(child)
         self.child = None
         if self.ends_as == "planned":
             self._down("exited")
@@ -182,7 +182,7 @@
         said = f", its last words: {' | '.join(self.last)}" if self.last else ""
         text = f"{self.name} ended by itself with code {code}{said}"
         if not self.crew.stands:
-            raise Invalid(f"{text}; it was never ready")
+            raise InvalidRunError(f"{text}; it was never ready")
         self.crew.notes.append(text)
         self._leave_front(NOTICED_S)
 
@@ -219,7 +219,7 @@
     def __init__(
         self,
         plan: Plan,
-        keeper: Keeper,
+        keeper: ProcessSupervisor,
         tree: Path,
         folder: Path,
         now: Callable[[], int],
@@ -228,13 +228,13 @@
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         guarded: Callable[..., None],
     ) -> None:
-        self.plan, self.keeper, self.tree, self.folder = plan, keeper, tree, folder
+        self.plan, self.supervisor, self.tree, self.folder = plan, keeper, tree, folder
         self.now, self.add, self.front, self.spawn, self.guarded = now, add, front, spawn, guarded
         self.loop: AbstractEventLoop = asyncio.get_running_loop()
         self.notes: list[str] = []
         self.lines = 0
         self.proxies = {spec.name: Proxy(self, spec) for spec in plan.proxies}
-        self.owned = {spec.owner: self.proxies[spec.name] for spec in plan.proxies if spec.owner}
+        self.owned = {spec.owner_node: self.proxies[spec.name] for spec in plan.proxies if spec.owner_node}
         self.stands = False  # all have been ready once
         self.known = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
 
