--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -15,21 +15,21 @@
 from typing import Any
 
 from slatelab import records
-from slatelab.engine import Invalid, Recording, Tick, Watch
-from slatelab.plant.faults import Change
+from slatelab.engine import InvalidRunError, ProgressCallback, ProgressSnapshot, Recording
+from slatelab.plant.faults import FaultEvent
 from slatelab.plant.fleet import ProxySpec
 from slatelab.records import Asked, FaultBegan, FaultEnded, Record
 from slatelab.scenario import Scenario
 
-from .between import Between
+from .addresses import Addresses
 from .clock import monotonic_us
-from .crew import READY_WITHIN_S, Crew
+from .control_channel import Message
 from .emulation import Emulation, Helper
 from .facts import Facts
-from .link import Message
-from .places import Addresses
+from .peer_network import Between
 from .plan import Plan, plan
-from .supervise import Keeper, ended_by_sigterm, leftovers
+from .proxy_processes import READY_WITHIN_S, Crew
+from .supervisor import ProcessSupervisor, ended_by_sigterm, leftover_processes
 
 PREPARED_WITHIN_S = 120.0  # drawing a large day takes long
 AHEAD_US = 800_000  # a node's own proxy is started so long before the node
@@ -44,7 +44,7 @@
     scenario: Scenario,
     seed: int,
     folder: Path,
-    watch: Watch | None,
+    watch: ProgressCallback | None,
     tree: Path,
     scratch: Path,
     *,
@@ -53,16 +53,16 @@
     """Plays the scenario against real proxies of the source tree `tree`. `folder` is where trace files are
     looked for; `scratch` takes configurations, logs and facts, and names of processes that an earlier run
     left. `stall` holds up the load generator (when in the day, how long; microseconds), for tests. Raises
-    Invalid, ScenarioError, OSError. All processes are gone when it returns, whatever the way out."""
+    InvalidRunError, ScenarioError, OSError. All processes are gone when it returns, whatever the way out."""
     scratch.mkdir(parents=True, exist_ok=True)
-    left = leftovers(scratch)
+    left = leftover_processes(scratch)
     with ended_by_sigterm():
-        addresses, keeper = Addresses(), Keeper(scratch)
+        addresses, keeper = Addresses(), ProcessSupervisor(scratch)
         between: Between | None = None
         try:
             layout = plan(scenario, seed, addresses)
             if scenario.fleet.peers:
-                between = Between(scenario, layout.proxies, layout.draw.stream("peers"), scratch)
+                between = Between(scenario, layout.proxies, layout.random_streams.stream("peers"), scratch)
                 layout.tables = {proxy.name: between.table(proxy) for proxy in layout.proxies}
             day = Day(layout, seed, watch, scratch, between)
             recording = asyncio.run(day.play(folder, tree, keeper, stall))
@@ -79,7 +79,12 @@
     """One run. Times are microseconds of the lab's own clock, which begins with the run."""
 
     def __init__(
-        self, layout: Plan, seed: int, watch: Watch | None, scratch: Path, between: Between | None = None
+        self,
+        layout: Plan,
+        seed: int,
+        watch: ProgressCallback | None,
+        scratch: Path,
+        between: Between | None = None,
     ) -> None:
         self.between = between
         self.plan, self.scenario = layout, layout.scenario
@@ -96,7 +101,7 @@
     # ------------------------------------------------------------ the order of things
 
     async def play(
-        self, folder: Path, tree: Path, keeper: Keeper, stall: tuple[int, int] | None
+        self, folder: Path, tree: Path, keeper: ProcessSupervisor, stall: tuple[int, int] | None
     ) -> Recording:
         self._open(tree, keeper)
         unix_us = time.time_ns() // 1000 - self.now()
@@ -121,7 +126,7 @@
         )
         return self._recording()
 
-    def _open(self, tree: Path, keeper: Keeper) -> None:
+    def _open(self, tree: Path, keeper: ProcessSupervisor) -> None:
         """What needs the loop."""
         self.loop = asyncio.get_running_loop()
         self.failure: asyncio.Future[None] = self.loop.create_future()
@@ -151,7 +156,7 @@
     def _recording(self) -> Recording:
         load = self.emulation.load.done or {}
         if load["complaint"]:
-            raise Invalid(load["complaint"])
+            raise InvalidRunError(load["complaint"])
         self.facts.close()
         files = [self.scratch / "lab.jsonl", *(helper.facts for helper in self.emulation.helpers)]
         merged: list[Record] = [record for path in files for record in records.read(path)]
@@ -163,7 +168,7 @@
     # ------------------------------------------------------------ what can fail
 
     async def _unless_failed(self, what: Coroutine[Any, Any, object], within_s: float, why: str) -> None:
-        """Waits, unless something fails meanwhile. Raises that, or Invalid where it takes too long."""
+        """Waits, unless something fails meanwhile. Raises that, or InvalidRunError where it takes too long."""
         task = asyncio.ensure_future(what)
         await asyncio.wait((task, self.failure), timeout=within_s, return_when=asyncio.FIRST_COMPLETED)
         if self.failure.done() or not task.done():
@@ -173,7 +178,7 @@
         if self.failure.done():
             self.failure.result()
         if task.cancelled():
-            raise Invalid(f"{why} within {within_s:.0f} s{self.crew.last_words()}")
+            raise InvalidRunError(f"{why} within {within_s:.0f} s{self.crew.last_words()}")
         task.result()
 
     def _fail(self, problem: Exception) -> None:
@@ -230,7 +235,9 @@
             nodes = sorted(tuple(node) for h in self.emulation.nodes for node in h.tick.get("nodes", ()))
             counts = {key: tick[key] for key in ("t", "asked", "served", "refused", "failed")}
             latencies, until = tuple(tick["latencies"]), self.scenario.scenario.duration
-            self.watch(Tick(until=until, latencies_us=latencies, nodes=tuple(nodes), **counts))
+            self.watch(
+                ProgressSnapshot(last_arrival_at=until, latencies_us=latencies, nodes=tuple(nodes), **counts)
+            )
 
     def _front(self, proxy: ProxySpec, used: bool) -> None:
         if not proxy.tier:
@@ -238,15 +245,15 @@
 
     # ------------------------------------------------------------ the fault schedule
 
-    def _carry_out(self, n: int, change: Change) -> None:
-        kind = FaultBegan if change.begins else FaultEnded
+    def _carry_out(self, n: int, change: FaultEvent) -> None:
+        kind = FaultBegan if change.is_start else FaultEnded
         self.facts.add(kind(self.now(), change.fault, change.kind, change.targets))
         if change.kind.startswith("peer-"):
             if self.between:
                 self.between.change(change)
         elif change.kind.startswith("proxy-"):
             for name in change.targets:
-                self._to_proxy(name, change.kind, change.begins)
+                self._to_proxy(name, change.kind, change.is_start)
         elif change.kind in ("start", "renew"):
             for place in change.targets:
                 self._spawn(self._start_place(place, change.kind == "renew"))
@@ -266,7 +273,7 @@
         else:
             {"proxy-kill": proxy.kill, "proxy-stop": proxy.stop, "proxy-end": proxy.stop_now}[kind]()
 
-    def _prepare(self, change: Change) -> None:
+    def _prepare(self, change: FaultEvent) -> None:
         """A node's own proxy stops and starts with it; it is given time to become ready, so that the node
         need not come late."""
         for place in change.targets:
--- a/slatelab/live/late.py
+++ b/slatelab/live/schedule_lag.py
@@ -10,14 +10,14 @@
 SECOND = 1_000_000
 
 
-class Lateness:
+class ScheduleLag:
     """Takes, for each try, when it was to be sent and how late it was taken up."""
 
     def __init__(self) -> None:
         self._all = array("q")
         self._seconds: dict[int, tuple[int, int]] = {}  # count and sum
 
-    def note(self, intended: int, by_us: int) -> None:
+    def record(self, intended: int, by_us: int) -> None:
         self._all.append(by_us)
         count, whole = self._seconds.get(intended // SECOND, (0, 0))
         self._seconds[intended // SECOND] = (count + 1, whole + by_us)
@@ -28,7 +28,7 @@
         ordered = sorted(self._all)
         return ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] if ordered else 0
 
-    def complaint(self) -> str:
+    def invalid_reason(self) -> str:
         """Why the run is no result, in one line; "" where it may be one."""
         if (p99 := self.p99_us) > MOST_P99_US:
             return (
--- a/slatelab/live/supervise.py
+++ b/slatelab/live/supervisor.py
@@ -42,7 +42,7 @@
         return self.process.pid
 
 
-class Keeper:
+class ProcessSupervisor:
     """All processes of one run."""
 
     def __init__(self, scratch: Path) -> None:
@@ -126,7 +126,7 @@
         pass  # nothing but the dead process itself is left of it
 
 
-def leftovers(scratch: Path) -> list[str]:
+def leftover_processes(scratch: Path) -> list[str]:
     """Processes of earlier runs in this folder that still run, as "name (pid)". They are named, never
     touched."""
     path = scratch / "processes.jsonl"
--- a/slatelab/live/wire.py
+++ b/slatelab/live/wire.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from slatelab.records import order_of
+from slatelab.records import order_id
 from slatelab.scenario import Class
 
 
@@ -22,7 +22,7 @@
     pass on unread: by them a node knows what work it is, and which proxy it was sent through."""
     method = "GET" if cls.effect == "safe" else "POST"
     lines = [
-        f"{method} /{cls.name}{'' if alike else '/' + order_of(request)} HTTP/1.1",
+        f"{method} /{cls.name}{'' if alike else '/' + order_id(request)} HTTP/1.1",
         "Host: app.svc",
         f"X-Request-ID: {request}",
         f"X-Priority-Class: {cls.name}",
--- a/slatelab/model/clients.py
+++ b/slatelab/model/clients.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from slatelab.plant import client
-from slatelab.plant.client import End
+from slatelab.plant.client import AttemptOutcome
 from slatelab.plant.workload import Order
 from slatelab.records import Answered, Asked, BrokenOff, GaveUp
 
-from .front import CallerLine, Front
-from .world import Ask, World
+from .connection_balancer import ClientConnection, ConnectionBalancer
+from .world import ClientRequest, SimulationContext
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,18 +20,18 @@
 REFUSALS = (429, 503)
 
 
-class Try:
-    """One try of an order. `unheard_by`: proxies that could not be reached; `crossed`: it has been written
+class ClientAttempt:
+    """One try of an order. `unheard_by`: proxies that could not be reached; `resent`: it has been written
     once more, as the closing of its connection crossed it."""
 
-    __slots__ = ("ask", "attempt", "clients", "crossed", "line", "order", "over", "unheard_by", "wake")
+    __slots__ = ("ask", "attempt", "clients", "resent", "connection", "order", "over", "unheard_by", "wake")
 
     def __init__(self, clients: Clients, order: Order, attempt: int, intended: int) -> None:
-        world = clients.world
+        world = clients.context
         self.clients, self.order, self.attempt = clients, order, attempt
-        until = client.until(world.scenario, order, intended)
+        until = client.attempt_timeout_at(world.scenario, order, intended)
         retried = attempt > 0 and world.scenario.clients.marks_retry
-        self.ask = Ask(
+        self.ask = ClientRequest(
             f"o{order.number}.{attempt}",
             attempt,
             f"c{order.number}",
@@ -44,18 +44,18 @@
             until,
             retried,
         )
-        self.line: CallerLine | None = None
+        self.connection: ClientConnection | None = None
         self.unheard_by: list[str] = []
-        self.crossed = self.over = False
+        self.resent = self.over = False
         # A little longer than it says: an answer on its way must not be taken for none.
-        self.wake = world.day.at(until + world.scenario.rules.answer_slack, self._late)
+        self.wake = world.clock.call_at(until + world.scenario.rules.answer_slack, self._late)
 
     def asked(self, proxy: str) -> None:
         """It has been written whole."""
-        ask, world = self.ask, self.clients.world
+        ask, world = self.ask, self.clients.context
         world.say(
             Asked(
-                world.day.now,
+                world.clock.now,
                 ask.request,
                 ask.attempt,
                 ask.caller,
@@ -69,8 +69,8 @@
         )
 
     def answered(self, status: int, token: str, retry_after_us: int) -> None:
-        world = self.clients.world
-        world.say(Answered(world.day.now, self.ask.request, status, token, retry_after_us))
+        world = self.clients.context
+        world.say(Answered(world.clock.now, self.ask.request, status, token, retry_after_us))
         self._end(
             "served" if status == 200 else "refused" if status in REFUSALS else "failed", retry_after_us
         )
@@ -82,29 +82,41 @@
         self._break(False, "no proxy takes it")
 
     def _break(self, sent: bool, why: str) -> None:
-        world = self.clients.world
-        world.say(BrokenOff(world.day.now, self.ask.request, sent, why))
+        world = self.clients.context
+        world.say(BrokenOff(world.clock.now, self.ask.request, sent, why))
         self._end("gone" if sent else "unheard", 0)
 
     def _late(self) -> None:
-        world = self.clients.world
-        world.say(GaveUp(world.day.now, self.ask.request))
-        if self.line:
-            self.line.give_up()
+        world = self.clients.context
+        world.say(GaveUp(world.clock.now, self.ask.request))
+        if self.connection:
+            self.connection.give_up()
         self._end("gave-up", 0)
         self.clients.front.freed()
 
-    def _end(self, end: End, retry_after_us: int) -> None:
+    def _end(self, end: AttemptOutcome, retry_after_us: int) -> None:
         self.over = True
-        self.wake.off()
+        self.wake.cancel()
         self.clients.ended(self, end, retry_after_us)
 
 
 class Clients:
     """`over` is called when no order is open and none is to come."""
 
-    def __init__(self, world: World, front: Front, orders: list[Order], over: Callable[[], None]) -> None:
-        self.world, self.day, self.front, self.orders, self._over = world, world.day, front, orders, over
+    def __init__(
+        self,
+        world: SimulationContext,
+        front: ConnectionBalancer,
+        orders: list[Order],
+        over: Callable[[], None],
+    ) -> None:
+        self.context, self.clock, self.front, self.orders, self._over = (
+            world,
+            world.clock,
+            front,
+            orders,
+            over,
+        )
         self.begun = self.open = 0
         self._told = False
         self.counts = {"served": 0, "refused": 0, "failed": 0}
@@ -113,7 +125,7 @@
 
     def _wait(self) -> None:
         if self.begun < len(self.orders):
-            self.day.at(self.orders[self.begun].at, self._due)
+            self.clock.call_at(self.orders[self.begun].at, self._due)
         else:
             self._look()
 
@@ -125,15 +137,17 @@
         self._wait()
 
     def _send(self, order: Order, attempt: int, intended: int) -> None:
-        self.front.send(Try(self, order, attempt, intended))
+        self.front.send(ClientAttempt(self, order, attempt, intended))
 
-    def ended(self, one: Try, end: End, retry_after_us: int) -> None:
-        order, now = one.order, self.day.now
+    def ended(self, one: ClientAttempt, end: AttemptOutcome, retry_after_us: int) -> None:
+        order, now = one.order, self.clock.now
         if end != "served":
-            rng = self.world.draw.stream("client", order.number, one.attempt)
-            again = client.after(self.world.scenario, order, one.attempt, now, end, retry_after_us, rng)
+            rng = self.context.random_streams.stream("client", order.number, one.attempt)
+            again = client.next_retry(
+                self.context.scenario, order, one.attempt, now, end, retry_after_us, rng
+            )
             if again:
-                self.day.at(again.at, self._send, order, one.attempt + 1, again.at)
+                self.clock.call_at(again.at, self._send, order, one.attempt + 1, again.at)
                 return
         self.open -= 1
         self.counts[end if end in self.counts else "failed"] += 1
--- a/slatelab/model/front.py
+++ b/slatelab/model/connection_balancer.py
@@ -9,38 +9,41 @@
 from typing import TYPE_CHECKING
 
 from slatehub.core.jobs import Answer, Job
-from slatelab.plant.fleet import turns
+from slatelab.plant.fleet import weighted_round_robin
 
-from .network import Way
-from .world import Ask, World
+from .network import OrderedChannel
+from .world import ClientRequest, SimulationContext
 
 if TYPE_CHECKING:
-    from .clients import Try
-    from .post import Post
+    from .clients import ClientAttempt
     from .proxy import Proxy
+    from .proxy_supervisor import ProxySupervisor
 
 DEATH_NOTICED_US = 1_000_000  # a proxy that has died is handed out connections for so long
 STOP_NOTICED_US = 300_000  # the same of one that has been told to stop
 
 
-class CallerLine:
+class ClientConnection:
     """One connection of an outside caller, and the screen of the job on it. `open` is the caller's side,
     `here` the proxy's; `letter`: a request that has come and not been read, with the time it was written."""
 
     __slots__ = (
-        "back", "forth", "front", "here", "job", "letter", "one", "open", "post", "proxy", "served", "since",
+        "back", "forth", "front", "here", "job", "letter", "one", "open", "supervisor", "proxy", "served", "since",
         "waking",
     )  # fmt: skip
 
-    def __init__(self, front: Front, post: Post, one: Try) -> None:
-        self.front, self.post = front, post
-        self.one: Try | None = one
+    def __init__(self, front: ConnectionBalancer, post: ProxySupervisor, one: ClientAttempt) -> None:
+        self.front, self.supervisor = front, post
+        self.one: ClientAttempt | None = one
         self.proxy: Proxy | None = None
-        far = front.world.network.far
-        self.forth, self.back = Way(front.world.day, far), Way(front.world.day, far)
+        far = front.context.network.far
+        self.forth, self.back = (
+            OrderedChannel(front.context.clock, far),
+            OrderedChannel(front.context.clock, far),
+        )
         self.open, self.here, self.served, self.waking = True, False, False, False
         self.job: Job | None = None
-        self.letter: tuple[Ask, int] | None = None
+        self.letter: tuple[ClientRequest, int] | None = None
         self.since = 0
 
     # ------------------------------------------------------------ the proxy's side
@@ -53,24 +56,24 @@
     def answer(self, job: Job, answer: Answer) -> None:
         assert self.proxy
         self.served = True
-        self.proxy.hall.answer(self, answer)
+        self.proxy.client_listener.answer(self, answer)
 
     def knock(self) -> None:
-        proxy = self.post.proxy
-        if proxy is None or not proxy.hall.listening:
+        proxy = self.supervisor.proxy
+        if proxy is None or not proxy.client_listener.listening:
             return self.back.send(self.refused)
         self.proxy = proxy
-        proxy.hall.knock(self)
+        proxy.client_listener.knock(self)
         self.back.send(self.up)
 
-    def deliver(self, ask: Ask, sent: int) -> None:
+    def deliver(self, ask: ClientRequest, sent: int) -> None:
         if self.here and self.proxy:  # else its end is on the way back
             self.letter = ask, sent
-            self.proxy.hall.read(self)
+            self.proxy.client_listener.read(self)
 
     def left(self) -> None:
         if self.proxy:
-            self.proxy.hall.left(self)
+            self.proxy.client_listener.left(self)
 
     # ------------------------------------------------------------ the caller's side
 
@@ -78,14 +81,14 @@
         if self.open and self.one:
             self._carry(self.one)
 
-    def _carry(self, one: Try) -> None:
+    def _carry(self, one: ClientAttempt) -> None:
         self.one = one
-        one.asked(self.post.spec.name)
-        self.forth.send(self.deliver, one.ask, self.front.world.day.now)
+        one.asked(self.supervisor.spec.name)
+        self.forth.send(self.deliver, one.ask, self.front.context.clock.now)
 
-    def use(self, one: Try) -> None:
+    def use(self, one: ClientAttempt) -> None:
         """For a further request, on an idle connection."""
-        one.line = self
+        one.connection = self
         self._carry(one)
 
     def refused(self) -> None:
@@ -93,13 +96,13 @@
         if self.open:
             self.shut()
             if one:
-                self.front.unheard(one, self.post)
+                self.front.unheard(one, self.supervisor)
 
     def heard(self, status: int, token: str, retry_after_us: int, last: bool) -> None:
         one, self.one = self.one, None
         if not self.open or one is None:
             return
-        one.line = None
+        one.connection = None
         if last:
             self.shut()
         else:
@@ -115,10 +118,10 @@
         self.shut()
         if one is None:
             return self.front.freed()
-        if why == "closed" and served and not one.crossed:
+        if why == "closed" and served and not one.resent:
             # The closing crossed a request that the proxy has not read: it goes out once more.
-            one.crossed = True
-            self.front.open(one, self.post)
+            one.resent = True
+            self.front.open(one, self.supervisor)
         else:
             one.broken(why)
             self.front.freed()
@@ -135,39 +138,41 @@
             self.forth.send(self.left)
 
 
-class Front:
+class ConnectionBalancer:
     """A proxy that is taken out of use keeps the connections it has until they close, as clients do."""
 
-    def __init__(self, world: World, posts: list[Post]) -> None:
-        self.world, self.posts = world, posts
+    def __init__(self, world: SimulationContext, posts: list[ProxySupervisor]) -> None:
+        self.context, self.supervisors = world, posts
         self.most = world.scenario.clients.connections
         self.count = 0
         self.used: dict[str, bool] = {post.spec.name: False for post in posts}
-        self.idle: dict[str, list[CallerLine]] = {post.spec.name: [] for post in posts}
-        self.waiting: deque[Try] = deque()
+        self.idle: dict[str, list[ClientConnection]] = {post.spec.name: [] for post in posts}
+        self.waiting: deque[ClientAttempt] = deque()
         self._turn = 0
-        self._turns = [posts[place] for place in turns(len(posts), world.scenario.tiers[0].skew)]
+        self._turns = [
+            posts[place] for place in weighted_round_robin(len(posts), world.scenario.tiers[0].skew)
+        ]
 
     # ------------------------------------------------------------ which proxies are in use
 
-    def changes(self, post: Post) -> None:
+    def changes(self, post: ProxySupervisor) -> None:
         """A proxy has answered ready, has been told to stop, or has ended."""
         if post.spec.tier:
             return
-        day, proxy = self.world.day, post.proxy
+        day, proxy = self.context.clock, post.proxy
         if proxy is None:
-            day.at(day.now + DEATH_NOTICED_US, self._look, post)
-        elif proxy.hall.stopping:
-            day.at(day.now + STOP_NOTICED_US, self._look, post)
+            day.call_at(day.now + DEATH_NOTICED_US, self._look, post)
+        elif proxy.client_listener.stopping:
+            day.call_at(day.now + STOP_NOTICED_US, self._look, post)
         else:
             self.used[post.spec.name] = True
 
-    def _look(self, post: Post) -> None:
-        self.used[post.spec.name] = bool(post.proxy and not post.proxy.hall.stopping)
+    def _look(self, post: ProxySupervisor) -> None:
+        self.used[post.spec.name] = bool(post.proxy and not post.proxy.client_listener.stopping)
 
     # ------------------------------------------------------------ tries
 
-    def send(self, one: Try) -> None:
+    def send(self, one: ClientAttempt) -> None:
         """To the next proxy in turn, over an idle connection or a new one."""
         post = self._choose(one)
         if post is None:
@@ -182,7 +187,7 @@
         else:
             self.open(one, post)
 
-    def _choose(self, one: Try) -> Post | None:
+    def _choose(self, one: ClientAttempt) -> ProxySupervisor | None:
         for i in range(len(self._turns)):
             post = self._turns[(self._turn + i) % len(self._turns)]
             name = post.spec.name
@@ -191,24 +196,24 @@
                 return post
         return None
 
-    def open(self, one: Try, post: Post) -> None:
-        line = one.line = CallerLine(self, post, one)
+    def open(self, one: ClientAttempt, post: ProxySupervisor) -> None:
+        line = one.connection = ClientConnection(self, post, one)
         self.count += 1
         line.forth.send(line.knock)
 
-    def unheard(self, one: Try, post: Post) -> None:
+    def unheard(self, one: ClientAttempt, post: ProxySupervisor) -> None:
         """Nobody took the connection: the front tries the others at once, so a dead proxy costs no more than
         that."""
-        one.line = None
+        one.connection = None
         one.unheard_by.append(post.spec.name)
         self.send(one)
 
-    def rest(self, line: CallerLine) -> None:
-        self.idle[line.post.spec.name].append(line)
+    def rest(self, line: ClientConnection) -> None:
+        self.idle[line.supervisor.spec.name].append(line)
 
-    def gone(self, line: CallerLine) -> None:
+    def gone(self, line: ClientConnection) -> None:
         self.count -= 1
-        lines = self.idle[line.post.spec.name]
+        lines = self.idle[line.supervisor.spec.name]
         if line in lines:
             lines.remove(line)
 
--- a/slatelab/model/faults.py
+++ b/slatelab/model/faults.py
@@ -1,64 +1,64 @@
-"""Carries out the fault schedule: the one table from the kinds of Change to what befalls places, proxies and
+"""Carries out the fault schedule: the one table from the kinds of FaultEvent to what befalls places, proxies and
 discovery. It must never choose a target or a time; the schedule has."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from slatelab.plant.faults import BETWEEN_PEERS, LASTING, Change, Standing
+from slatelab.plant.faults import DURABLE_FAULTS, PEER_FAULTS, ActiveFaults, FaultEvent
 from slatelab.records import FaultBegan, FaultEnded
 
-from .place import Place
-from .post import Post
-from .world import World
+from .proxy_supervisor import ProxySupervisor
+from .simulated_node import SimulatedNode
+from .world import SimulationContext
 
 
 class Faults:
-    def __init__(self, world: World, changes: list[Change]) -> None:
-        self.world = world
-        self.standing = Standing(world.scenario)
+    def __init__(self, world: SimulationContext, changes: list[FaultEvent]) -> None:
+        self.context = world
+        self.active_faults = ActiveFaults(world.scenario)
         for change in changes:
-            world.day.at(change.at, self._carry_out, change)
+            world.clock.call_at(change.at, self._carry_out, change)
 
-    def _carry_out(self, change: Change) -> None:
-        fact = FaultBegan if change.begins or change.kind not in LASTING else FaultEnded
-        self.world.say(fact(self.world.day.now, change.fault, change.kind, change.targets))
-        for name, condition in self.standing.note(change):
-            self.world.places[name].set(condition)
-        if change.kind in BETWEEN_PEERS:
-            self.world.between.change(change)
+    def _carry_out(self, change: FaultEvent) -> None:
+        fact = FaultBegan if change.is_start or change.kind not in DURABLE_FAULTS else FaultEnded
+        self.context.say(fact(self.context.clock.now, change.fault, change.kind, change.targets))
+        for name, condition in self.active_faults.apply(change):
+            self.context.simulated_nodes[name].set_condition(condition)
+        if change.kind in PEER_FAULTS:
+            self.context.peer_network.change(change)
         elif change.kind.startswith("discovery"):
-            self.world.discovery.change(change)
+            self.context.discovery.change(change)
         elif change.kind == "proxy-freeze":
             for name in change.targets:
-                self.world.posts[name].freeze(change.begins)
+                self.context.proxy_supervisors[name].freeze(change.is_start)
         elif act := ON_POSTS.get(change.kind):
             for name in change.targets:
-                act(self.world.posts[name])
+                act(self.context.proxy_supervisors[name])
         else:
             for name in change.targets:
-                self._on_place(self.world.places[name], change)
+                self._on_place(self.context.simulated_nodes[name], change)
 
-    def _on_place(self, place: Place, change: Change) -> None:
+    def _on_place(self, place: SimulatedNode, change: FaultEvent) -> None:
         kind = change.kind
         if kind in ("kill", "stop"):
-            place.down("killed" if kind == "kill" else "stopped")
+            place.crash("killed" if kind == "kill" else "stopped")
         elif kind == "drain":
             place.drain()
         elif kind in ("start", "renew"):
-            place.again(kind == "renew", self.standing.of(place.name))
+            place.restart(kind == "renew", self.active_faults.conditions_for(place.name))
         elif kind == "reset":
             place.break_some(change.spec.part or 1.0, f"{change.fault} {change.at}")
-        elif kind == "black-hole" and self.standing.cut(place.name):
+        elif kind == "black-hole" and self.active_faults.is_black_holed(place.name):
             place.cut = True
         elif kind == "black-hole":
-            place.reach_again()
+            place.end_isolation()
 
 
-ON_POSTS: dict[str, Callable[[Post], None]] = {
-    "proxy-kill": Post.kill,
-    "proxy-stop": Post.stop,
-    "proxy-end": Post.cut_short,
-    "proxy-start": Post.start,
-    "proxy-reload": Post.reload,
+ON_POSTS: dict[str, Callable[[ProxySupervisor], None]] = {
+    "proxy-kill": ProxySupervisor.kill,
+    "proxy-stop": ProxySupervisor.stop,
+    "proxy-end": ProxySupervisor.cut_short,
+    "proxy-start": ProxySupervisor.start,
+    "proxy-reload": ProxySupervisor.reload,
 }
--- a/slatelab/model/network.py
+++ b/slatelab/model/network.py
@@ -1,5 +1,5 @@
 """How long a message is on its way. It owns the delays and their jitter, and must never lose or reorder a
-message: what keeps the order on one connection is the connection's (`Way`)."""
+message: what keeps the order on one connection is the connection's (`OrderedChannel`)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from slatelab.scenario import Scenario
 
-from .day import Day
+from .virtual_clock import VirtualClock
 
 LOOPBACK_US = 30  # one way between a node and its own proxy, which stand on one machine
 
@@ -33,21 +33,21 @@
         return int(self._far + self._far_more * self._random() + 0.5)
 
 
-class Way:
+class OrderedChannel:
     """One direction of one connection: what is sent later arrives later, whatever the jitter (TCP)."""
 
-    __slots__ = ("_day", "_delay", "last")
+    __slots__ = ("_clock", "_delay", "last")
 
-    def __init__(self, day: Day, delay: Callable[[], int]) -> None:
-        self._day, self._delay, self.last = day, delay, 0
+    def __init__(self, day: VirtualClock, delay: Callable[[], int]) -> None:
+        self._clock, self._delay, self.last = day, delay, 0
 
     def arrival(self) -> int:
         """When a message sent now arrives."""
-        due = self._day.now + self._delay()
+        due = self._clock.now + self._delay()
         if due > self.last:
             self.last = due
         return self.last
 
     def send(self, call: Callable[..., None], *args: Any) -> None:
         """Calls when a message sent now arrives."""
-        self._day.at(self.arrival(), call, *args)
+        self._clock.call_at(self.arrival(), call, *args)
--- a/slatelab/model/still.py
+++ b/slatelab/model/suspension.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar, cast
 
 
-class Still:
+class Suspension:
     """`on`: the process is stopped."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
 Call = TypeVar("Call", bound=Callable[..., None])
 
 
-def alive(call: Call) -> Call:
+def deferred_while_suspended(call: Call) -> Call:
     """For what comes to a process from without (a timer, bytes, a signal), as a method of something that has its
     `still`: it meets it when the process runs."""
 
--- a/slatelab/model/world.py
+++ b/slatelab/model/world.py
@@ -8,26 +8,26 @@
 
 import msgspec
 
-from slatelab.plant.draw import Draw
 from slatelab.plant.fleet import NodeSpec
+from slatelab.plant.random_streams import RandomStreams
 from slatelab.records import Record
 from slatelab.scenario import Scenario
 
-from .between import Between
-from .day import Day
 from .network import Network
+from .peer_network import SimulatedPeerNetwork
+from .virtual_clock import VirtualClock
 
 if TYPE_CHECKING:
     from .discovery import Discovery
-    from .place import Place
-    from .post import Post
+    from .proxy_supervisor import ProxySupervisor
+    from .simulated_node import SimulatedNode
 
 # Where the day stands on the clock that proxies read, in microseconds since 1970, as a real one's would.
 # Guards against code of the module that takes the time 0 for "never".
-EPOCH = 1_700_000_000_000_000
+EPOCH_UNIX_US = 1_700_000_000_000_000
 
 
-class Ask(msgspec.Struct, frozen=True, gc=False):
+class ClientRequest(msgspec.Struct, frozen=True, gc=False):
     """A request as its caller makes it. `until` is when the caller gives it up."""
 
     request: str
@@ -43,24 +43,26 @@
     retried: bool = False
 
 
-class World:
+class SimulationContext:
     """Places are known by the id of the node that stood there first, and by their address."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
-        self.draw = Draw(seed)
-        self.day = Day()
-        self.network = Network(scenario, self.draw.stream("network"))
+        self.random_streams = RandomStreams(seed)
+        self.clock = VirtualClock()
+        self.network = Network(scenario, self.random_streams.stream("network"))
         self.records: list[Record] = []
         self.say = self.records.append
         self.notes: list[str] = []
         self.specs: dict[str, NodeSpec] = {}  # of every node there has been
-        self.places: dict[str, Place] = {}
-        self.by_address: dict[str, Place] = {}
-        self.posts: dict[str, Post] = {}
+        self.simulated_nodes: dict[str, SimulatedNode] = {}
+        self.by_address: dict[str, SimulatedNode] = {}
+        self.proxy_supervisors: dict[str, ProxySupervisor] = {}
         self.discovery: Discovery
-        self.between = Between(self.day, scenario.fleet, self.draw.stream("peers"))
-        self.front_changes: Callable[[Post], None]  # a proxy has come or goes
+        self.peer_network = SimulatedPeerNetwork(
+            self.clock, scenario.fleet, self.random_streams.stream("peers")
+        )
+        self.front_changes: Callable[[ProxySupervisor], None]  # a proxy has come or goes
         self.open_calls = 0  # of nodes, to the next tier
         self.classes = [cls.name for cls in scenario.classes]
         self.tenants = [tenant.name for tenant in scenario.tenants] or [""]
--- a/slatelab/peers/faults.py
+++ b/slatelab/peers/faults.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Iterable
 
-from slatelab.plant.faults import Change
+from slatelab.plant.faults import FaultEvent
 
-from .net import PeerNet
+from .network import PeerNetwork
 
 
-def carry_out(net: PeerNet, change: Change, everybody: Iterable[str], usual_lost: float) -> None:
+def apply_change(net: PeerNetwork, change: FaultEvent, everybody: Iterable[str], usual_lost: float) -> None:
     """`everybody`: the proxies that are on the net. Those of another tier hear nothing of each other anyway."""
     if change.kind == "peer-lossy":
-        net.weather.lost = change.spec.part if change.begins else usual_lost
-    elif change.begins:
+        net.faults.loss = change.spec.part if change.is_start else usual_lost
+    elif change.is_start:
         others = [name for name in everybody if name not in change.targets]
-        net.sever(change.fault, change.targets, others, change.kind == "peer-cut")
+        net.partition(change.fault, change.targets, others, change.kind == "peer-cut")
     else:
-        net.mend(change.fault)
+        net.heal(change.fault)
--- a/slatelab/peers/ring.py
+++ b/slatelab/peers/membership_simulation.py
@@ -9,50 +9,52 @@
 from random import Random
 from typing import Any
 
-from slatehub.fleet.membership import Change, Terms
-from slatehub.fleet.peer import Peer, Place
+from slatehub.fleet.membership import MemberChange, MembershipConfig
+from slatehub.fleet.peer import Peer, PeerIdentity
 
-from .net import PeerNet
+from .network import PeerNetwork
 
 EPOCH = 1_700_000_000_000_000
 KEY = (b"\0\1\2\3", bytes(range(32)))
-Make = Callable[[Place, int, Random], Peer]
+Make = Callable[[PeerIdentity, int, Random], Peer]
 
 
-class Ring:
+class MembershipSimulation:
     """`start` and `stop` members by name; `run` until a time. `log`: (time, whose news, change)."""
 
-    def __init__(self, seed: int, terms: Terms | None = None, make: Make | None = None) -> None:
+    def __init__(
+        self, seed: int, terms: MembershipConfig | None = None, make_peer: Make | None = None
+    ) -> None:
         self.rng = Random(seed)
-        self.net = PeerNet(Random(seed + 1))
-        self.terms = terms or Terms()
-        self.make = make or (lambda place, now, rng: Peer(place, (KEY,), now, rng, self.terms))
+        self.net = PeerNetwork(Random(seed + 1))
+        self.terms = terms or MembershipConfig()
+        self.make_peer = make_peer or (lambda place, now, rng: Peer(place, (KEY,), now, rng, self.terms))
         self.now = EPOCH
         self.peers: dict[str, Peer] = {}
         self.addresses: dict[tuple[str, int], str] = {}
         self.frozen: dict[str, list[bytes]] = {}
-        self.log: list[tuple[int, str, Change]] = []
+        self.log: list[tuple[int, str, MemberChange]] = []
         self._queue: list[tuple[int, int, str, Any]] = []
         self._order = 0
         self._woken: dict[str, int] = {}  # when each is to be rung next
 
-    def place(self, name: str, seeds: int = 2) -> Place:
+    def place(self, name: str, seeds: int = 2) -> PeerIdentity:
         first = tuple(sorted(self.addresses))[:seeds]
         number = int(name[1:])
-        return Place(name, "lab", 0, f"10.0.{number >> 8}.{number & 255}", 7000, first)
+        return PeerIdentity(name, "lab", 0, f"10.0.{number >> 8}.{number & 255}", 7000, first)
 
     def start(self, *names: str) -> None:
         for name in names:
             place = self.place(name)
             self.addresses[place.host, place.port] = name
-            self.peers[name] = self.make(place, self.now, Random(self.rng.getrandbits(64)))
-            self._after(name)
+            self.peers[name] = self.make_peer(place, self.now, Random(self.rng.getrandbits(64)))
+            self._process_output(name)
 
     def stop(self, *names: str, leave: bool = False) -> None:
         for name in names:
             if leave:
-                self.peers[name].members.leave(self.now)
-                self._after(name)
+                self.peers[name].membership.leave(self.now)
+                self._process_output(name)
             del self.peers[name]
             self._woken.pop(name, None)
             self.frozen.pop(name, None)
@@ -60,10 +62,10 @@
     def freeze(self, name: str) -> None:
         self.frozen[name] = []
 
-    def wake(self, name: str) -> None:
+    def unfreeze(self, name: str) -> None:
         """It finds in its socket what came meanwhile, as much as a socket holds; and then that it is late."""
         for data in self.frozen.pop(name)[:200]:
-            self.peers[name].received(self.now, data)
+            self.peers[name].receive(self.now, data)
         self._ring(name)
 
     def run(self, span_us: int) -> None:
@@ -79,24 +81,24 @@
             elif name in self.frozen:
                 self.frozen[name].append(data)
             else:
-                self.peers[name].received(self.now, data)
-                self._after(name)
+                self.peers[name].receive(self.now, data)
+                self._process_output(name)
         self.now = end
 
     def _ring(self, name: str) -> None:
         peer = self.peers[name]
         peer.advance(self.now, max(0, self.now - self._woken[name]))
-        self._after(name)
+        self._process_output(name)
 
-    def _after(self, name: str) -> None:
+    def _process_output(self, name: str) -> None:
         peer = self.peers[name]
-        for host, port, data in peer.take():
+        for host, port, data in peer.drain_datagrams():
             receiver = self.addresses.get((host, port))
             if receiver in self.peers:
-                for wait, copy in self.net.carry(name, receiver, data):
+                for wait, copy in self.net.deliveries(name, receiver, data):
                     self._put(self.now + wait, receiver, copy)
-        self.log += [(self.now, name, change) for change in peer.news()]
-        due = max(self.now + 1, peer.due())
+        self.log += [(self.now, name, change) for change in peer.drain_changes()]
+        due = max(self.now + 1, peer.next_deadline())
         if self._woken.get(name) is None or due < self._woken[name] or self._woken[name] <= self.now:
             self._woken[name] = due
             self._put(due, name, None)
@@ -105,9 +107,10 @@
         self._order += 1
         heappush(self._queue, (due, self._order, name, data))
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether everybody holds everybody for alive, and nobody else."""
         names = set(self.peers)
         return all(
-            {m.row.name for m in p.members.table.living()} == names - {n} for n, p in self.peers.items()
+            {m.record.name for m in p.membership.member_table.live_members()} == names - {n}
+            for n, p in self.peers.items()
         )
--- a/slatelab/peers/days.py
+++ b/slatelab/peers/randomized_faults.py
@@ -2,7 +2,7 @@
 played, judged and, where a rule is broken, shrunk to the least that still breaks it. It owns the draw. It must never
 draw what nothing could survive: at no time are more machines without their memory than a group of that size bears.
 
-    python -m slatelab.peers.days --seeds 1-2000 [--jobs 8] [--size 3]
+    python -m slatelab.peers.randomized_faults --seeds 1-2000 [--jobs 8] [--size 3]
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from slatehub.copies.group import names as voting
-from slatehub.copies.machine import WROTE
+from slatehub.copies.reconfiguration import voter_names as voting
+from slatehub.copies.replica import WRITTEN
 
-from .votes import MS, SECOND, Build, Votes, breaches
+from .replica_simulation import MS, SECOND, Build, ReplicaSimulation, linearizability_violations
 
 KINDS = ("ask", "crash", "wipe", "freeze", "cut", "mute", "lossy", "full", "slow", "clock", "halt", "trap")
 WEIGHTS = (0, 4, 3, 4, 3, 3, 3, 1, 2, 2, 1, 2)
@@ -27,18 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """`who`: a place among the machines; `span`: how long it lasts; `part`: what more there is to say of it."""
+    """`machine`: a place among the machines; `duration`: how long it lasts; `magnitude`: what more there is to say of
+    it."""
 
     at: int
     kind: str
-    who: int
-    span: int = 0
-    part: float = 0.0
+    machine: int
+    duration: int = 0
+    magnitude: float = 0.0
 
 
 @dataclass(slots=True)
-class Day:
-    found: list[str]
+class RunResult:
+    violations: list[str]
     counts: Counter[str] = field(default_factory=Counter)
     longest: int = 0  # an operation took, microseconds
 
@@ -59,149 +60,160 @@
 class Player:
     def __init__(self, seed: int, size: int, build: Build | None, same_number: bool = False) -> None:
         self.names = [f"p{i}" for i in range(size)]
-        self.votes = Votes(seed, self.names, build=build)
-        self.votes.same_number = same_number
+        self.simulation = ReplicaSimulation(seed, self.names, build=build)
+        self.simulation.reuse_store_id = same_number
         self.rng = Random(seed + 7)
         self.counts: Counter[str] = Counter()
         self.cuts = 0
 
-    def play(self, events: Sequence[Event]) -> Day:
-        votes = self.votes
+    def play(self, events: Sequence[Event]) -> RunResult:
+        votes = self.simulation
         votes.start(*self.names)
         votes.run(2 * SECOND)
         for event in events:
-            votes.at(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
+            votes.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
         votes.run(LENGTH)
         self._end()
         keys = sorted({asked.key for asked in votes.history})
         unread = [key for key in keys if votes.read(key) is None]
-        found = breaches(votes.history) + [
+        found = linearizability_violations(votes.history) + [
             f"{key.hex()[:6]}: cannot be read once all is well" for key in unread
         ]
         late = max((a.ended - a.began for a in votes.history if a.ended), default=0)
-        self.counts.update(asked.how for asked in votes.history)
-        return Day(found, self.counts, late)
+        self.counts.update(asked.outcome for asked in votes.history)
+        return RunResult(found, self.counts, late)
 
     def _end(self) -> None:
         """All faults are over."""
-        votes = self.votes
-        votes.net.cut.clear()
+        votes = self.simulation
+        votes.net.partitions.clear()
         self._calm()
         for name in list(votes.frozen):
-            votes.wake(name)
+            votes.unfreeze(name)
         for name in self.names:
-            if name in votes.up and votes.up[name].broken:
+            if name in votes.running and votes.running[name].store_failure:
                 votes.crash(name)
-            if name not in votes.up:
+            if name not in votes.running:
                 votes.start(name)
             votes.disks[name].delay = 200
         votes.run(10 * SECOND)
 
     def _calm(self) -> None:
-        weather = self.votes.net.weather
-        weather.lost = weather.twice = weather.late = 0.0
+        weather = self.simulation.net.faults
+        weather.loss = weather.duplication = weather.reordering = 0.0
 
     def _do(self, event: Event) -> None:
-        name, votes = self.names[event.who], self.votes
+        name, votes = self.names[event.machine], self.simulation
         if event.kind == "ask":
-            votes.ask(name, bytes([int(event.part) + 1]) * 16)
+            votes.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
             return
         self.counts[f"fault {event.kind}"] += 1
         getattr(self, f"_{event.kind}")(name, event)
 
     def _back(self, name: str, span: int) -> None:
-        self.votes.at(span, lambda: None if name in self.votes.up else self.votes.start(name))
+        self.simulation.call_after(
+            span, lambda: None if name in self.simulation.running else self.simulation.start(name)
+        )
 
     def _crash(self, name: str, event: Event) -> None:
-        self.votes.crash(name)
-        self._back(name, event.span)
+        self.simulation.crash(name)
+        self._back(name, event.duration)
 
     def _wipe(self, name: str, event: Event) -> None:
         """Only while the group can bear it: all the others vote with the memory that they have."""
-        votes = self.votes
-        newest = max((m.config for m in votes.up.values()), key=lambda c: c.epoch, default=None)
-        whole = newest is not None and newest.epoch and not newest.old
+        votes = self.simulation
+        newest = max((m.config for m in votes.running.values()), key=lambda c: c.epoch, default=None)
+        whole = newest is not None and newest.epoch and not newest.old_voters
         held = newest is not None and all(
-            (disk := votes.disks.get(v.name)) is not None and disk.store == v.store for v in newest.voters
+            (disk := votes.disks.get(v.name)) is not None and disk.store == v.store_id for v in newest.voters
         )
         if whole and held and newest and name in voting(newest):
             self.counts["wiped"] += 1
             votes.crash(name, wipe=True)
-            self._back(name, event.span)
+            self._back(name, event.duration)
 
     def _trap(self, name: str, event: Event) -> None:
         """What one wrote together with a second while the third was cut off; then the second loses its memory, and is
         left with the third. A wiped voter that counts forgets for all."""
-        second, third = (self.names[(event.who + i) % len(self.names)] for i in (1, 2))
-        self._cut(third, replace(event, part=0.0))
-        self.votes.at(event.span, lambda: self._wipe(second, replace(event, span=10 * MS)))
-        self.votes.at(event.span + 5 * MS, lambda: self._cut(name, replace(event, part=0.0)))
+        second, third = (self.names[(event.machine + i) % len(self.names)] for i in (1, 2))
+        self._cut(third, replace(event, magnitude=0.0))
+        self.simulation.call_after(
+            event.duration, lambda: self._wipe(second, replace(event, duration=10 * MS))
+        )
+        self.simulation.call_after(
+            event.duration + 5 * MS, lambda: self._cut(name, replace(event, magnitude=0.0))
+        )
 
     def _freeze(self, name: str, event: Event) -> None:
-        self.votes.freeze(name)
-        self.votes.at(event.span, lambda: self.votes.wake(name))
+        self.simulation.freeze(name)
+        self.simulation.call_after(event.duration, lambda: self.simulation.unfreeze(name))
 
     def _cut(self, name: str, event: Event, both: bool = True) -> None:
         self.cuts += 1
         fault = f"cut-{self.cuts}"
-        side = [name] if event.part < 0.5 else [name, self.names[(event.who + 1) % len(self.names)]]
-        self.votes.net.sever(fault, side, [n for n in self.names if n not in side], both)
-        self.votes.at(event.span, lambda: self.votes.net.mend(fault))
+        side = [name] if event.magnitude < 0.5 else [name, self.names[(event.machine + 1) % len(self.names)]]
+        self.simulation.net.partition(fault, side, [n for n in self.names if n not in side], both)
+        self.simulation.call_after(event.duration, lambda: self.simulation.net.heal(fault))
 
     def _mute(self, name: str, event: Event) -> None:
         self._cut(name, event, both=False)
 
     def _lossy(self, name: str, event: Event) -> None:
-        weather = self.votes.net.weather
-        weather.lost, weather.twice, weather.late, weather.late_by = event.part * 0.6, 0.2, 0.3, 300 * MS
-        self.votes.at(event.span, lambda: self._calm())
+        weather = self.simulation.net.faults
+        weather.loss, weather.duplication, weather.reordering, weather.reordering_delay = (
+            event.magnitude * 0.6,
+            0.2,
+            0.3,
+            300 * MS,
+        )
+        self.simulation.call_after(event.duration, lambda: self._calm())
 
     def _full(self, name: str, event: Event) -> None:
         """Until it is started again, with room."""
-        self.votes.fill(name)
-        self.votes.at(event.span, lambda: self.votes.crash(name))
-        self._back(name, event.span + 10 * MS)
+        self.simulation.fill_disk(name)
+        self.simulation.call_after(event.duration, lambda: self.simulation.crash(name))
+        self._back(name, event.duration + 10 * MS)
 
     def _slow(self, name: str, event: Event) -> None:
-        if disk := self.votes.disks.get(name):
-            disk.delay = int(200 * MS * event.part)
-            self.votes.at(event.span, lambda: setattr(disk, "delay", 200))
+        if disk := self.simulation.disks.get(name):
+            disk.delay = int(200 * MS * event.magnitude)
+            self.simulation.call_after(event.duration, lambda: setattr(disk, "delay", 200))
 
     def _clock(self, name: str, event: Event) -> None:
         """A clock that is wrong, from the next start on: a running one does not jump (it is monotonic)."""
-        self.votes.crash(name)
-        self.votes.clocks[name] = int((event.part - 0.5) * 600 * SECOND)
-        self._back(name, event.span)
+        self.simulation.crash(name)
+        self.simulation.clocks[name] = int((event.magnitude - 0.5) * 600 * SECOND)
+        self._back(name, event.duration)
 
     def _halt(self, name: str, event: Event) -> None:
         """All at once."""
         for one in self.names:
-            self.votes.crash(one)
-            self._back(one, int(event.span * self.rng.random()))
+            self.simulation.crash(one)
+            self._back(one, int(event.duration * self.rng.random()))
 
 
-def play(
+def run_seed(
     seed: int,
     size: int = 3,
     build: Build | None = None,
     events: Sequence[Event] | None = None,
-    same: bool = False,
-) -> Day:
-    """`same`: planted, see Votes."""
-    return Player(seed, size, build, same).play(drawn(seed, size) if events is None else events)
+    reuse_store_id: bool = False,
+) -> RunResult:
+    """`reuse_store_id`: planted, see ReplicaSimulation."""
+    return Player(seed, size, build, reuse_store_id).play(drawn(seed, size) if events is None else events)
 
 
-def shrunk(seed: int, size: int, build: Build | None = None) -> tuple[list[Event], Day]:
+def shrink(seed: int, size: int, build: Build | None = None) -> tuple[list[Event], RunResult]:
     """The least of the day's events, one by one left out, that still breaks a rule."""
     events = drawn(seed, size)
-    day = play(seed, size, build, events)
+    day = run_seed(seed, size, build, events)
     step = max(1, len(events) // 2)
-    while step and day.found:
+    while step and day.violations:
         at = 0
         while at < len(events):
             less = events[:at] + events[at + step :]
-            tried = play(seed, size, build, less)
-            if tried.found:
+            tried = run_seed(seed, size, build, less)
+            if tried.violations:
                 events, day = less, tried
             else:
                 at += step
@@ -209,8 +221,8 @@
     return events, day
 
 
-def _one(job: tuple[int, int]) -> tuple[int, Day]:
-    return job[0], play(*job)
+def _one(job: tuple[int, int]) -> tuple[int, RunResult]:
+    return job[0], run_seed(*job)
 
 
 def main() -> None:
@@ -227,17 +239,17 @@
         for seed, day in pool.map(_one, [(seed, args.size) for seed in seeds], chunksize=4):
             counts.update(day.counts)
             longest = max(longest, day.longest)
-            if day.found:
+            if day.violations:
                 bad.append(seed)
-                print(f"seed {seed}: {day.found[0]}", flush=True)
+                print(f"seed {seed}: {day.violations[0]}", flush=True)
     print(
         f"{len(seeds)} days of {args.size} machines in {time.perf_counter() - began:.0f} s, {len(bad)} broken"
     )
-    print(f"longest operation {longest / MS:.0f} ms, written {counts[WROTE]}")
+    print(f"longest operation {longest / MS:.0f} ms, written {counts[WRITTEN]}")
     print(", ".join(f"{key} {count}" for key, count in sorted(counts.items())))
     for seed in bad[:1] if args.shrink else []:
-        events, day = shrunk(seed, args.size)
-        print(f"the least of seed {seed}:", *events, *day.found[:3], sep="\n  ")
+        events, day = shrink(seed, args.size)
+        print(f"the least of seed {seed}:", *events, *day.violations[:3], sep="\n  ")
 
 
 if __name__ == "__main__":
--- a/slatelab/peers/relay.py
+++ b/slatelab/peers/relay.py
@@ -1,6 +1,6 @@
 """The net between real proxies: one UDP socket for each, at the address that it advertises, and a thread that carries
-what comes there on to where it listens, as PeerNet says. It owns these sockets. It must never change what it carries
-but as the net does, and never send to anything but the addresses that it was given, all of them on loopback."""
+what comes there on to where it listens, as PeerNetwork says. It owns these sockets. It must never change what it
+carries but as the net does, and never send to anything but the addresses that it was given, all of them on loopback."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from heapq import heappop, heappush
 
-from .net import PeerNet
+from .network import PeerNetwork
 
 Address = tuple[str, int]
 
@@ -24,7 +24,7 @@
     return sock
 
 
-def free_ports(names: Sequence[str]) -> dict[str, Address]:
+def free_udp_addresses(names: Sequence[str]) -> dict[str, Address]:
     """A loopback address for UDP for each, that nobody has; held until all are drawn, so that no two get the same."""
     drawn = {name: _bound() for name in names}
     found: dict[str, Address] = {name: sock.getsockname() for name, sock in drawn.items()}
@@ -36,12 +36,12 @@
 class Relay:
     """`net` may be changed while it runs, under `lock`. `carried`: datagrams by sender and receiver."""
 
-    def __init__(self, net: PeerNet, names: list[str]) -> None:
+    def __init__(self, net: PeerNetwork, names: list[str]) -> None:
         self.net, self.lock = net, threading.Lock()
         self.carried: Counter[tuple[str, str]] = Counter()
         self.socks = {name: _bound() for name in names}
-        self.listens = free_ports(names)
-        self.by_source = {place: name for name, place in self.listens.items()}
+        self.listen_addresses = free_udp_addresses(names)
+        self.by_source = {place: name for name, place in self.listen_addresses.items()}
         self._late: list[tuple[float, int, str, str, bytes]] = []
         self._count = 0
         self._on = True
@@ -52,7 +52,7 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def advertised(self, name: str) -> Address:
+    def advertised_address(self, name: str) -> Address:
         host, port = self.socks[name].getsockname()
         return host, port
 
@@ -74,7 +74,7 @@
         if sender is None:
             return
         with self.lock:
-            copies = self.net.carry(sender, receiver, data)
+            copies = self.net.deliveries(sender, receiver, data)
         for wait, copy in copies:
             self._count += 1
             heappush(self._late, (time.monotonic() + wait / 1e6, self._count, sender, receiver, copy))
@@ -82,7 +82,7 @@
     def _pass(self, sender: str, receiver: str, data: bytes) -> None:
         self.carried[sender, receiver] += 1
         try:
-            self.socks[sender].sendto(data, self.listens[receiver])
+            self.socks[sender].sendto(data, self.listen_addresses[receiver])
         except OSError:
             pass  # nobody listens there now
 
--- a/slatelab/peers/votes.py
+++ b/slatelab/peers/replica_simulation.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import Any
 
-from slatehub.copies.machine import LEFT, PERHAPS, WROTE, Copies, Result, Terms
-from slatehub.copies.words import Bundle, Message, Record, pack, record, unpack
+from slatehub.copies.messages import LogRecord, Message, MessageBatch, decode_record, pack, unpack
+from slatehub.copies.replica import UNCERTAIN, UNCHANGED, WRITTEN, OperationResult, Replica, ReplicaConfig
 
-from .net import PeerNet
+from .network import PeerNetwork
 
 EPOCH = 1_700_000_000_000_000
 MS = 1_000
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True)
 class Disk:
-    """`synced`: what a crash leaves; `behind`: written and not yet durable."""
+    """`synced`: what a crash leaves; `unsynced`: written and not yet durable."""
 
     store: int
-    synced: list[Record] = field(default_factory=list)
-    behind: list[Record] = field(default_factory=list)
+    synced: list[LogRecord] = field(default_factory=list)
+    unsynced: list[LogRecord] = field(default_factory=list)
     busy: bool = False
     delay: int = 200  # microseconds of a sync
     full: bool = False
@@ -39,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class Operation:
     """One operation of a client's, as its history has it."""
 
     key: bytes
     token: bytes
     began: int
     ended: int = 0
-    how: str = ""
+    outcome: str = ""
     value: bytes = b""
 
 
@@ -60,39 +60,41 @@
         return found if self.token in tokens(found) else found + self.token
 
 
-Build = Callable[[str, int, int, Random, bool], Copies]
+Build = Callable[[str, int, int, Random, bool], Replica]
 
 
-class Votes:
-    """`names` are the founders. `crash` leaves the disk, `wipe` does not; a name that is `up` runs."""
+class ReplicaSimulation:
+    """`names` are the founders. `crash` leaves the disk, `wipe` does not; a name that is `running` runs."""
 
     def __init__(
-        self, seed: int, names: list[str], terms: Terms | None = None, build: Build | None = None
+        self, seed: int, names: list[str], terms: ReplicaConfig | None = None, build: Build | None = None
     ) -> None:
         self.rng = Random(seed)
-        self.net = PeerNet(Random(seed + 1))
+        self.net = PeerNetwork(Random(seed + 1))
         self.founders = list(names)
-        self.terms = terms or Terms()
+        self.terms = terms or ReplicaConfig()
         self.build = build or self._usual
         self.now = EPOCH
         self.disks: dict[str, Disk] = {}
-        self.up: dict[str, Copies] = {}
+        self.running: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.frozen: dict[str, list[tuple[str, bytes]]] = {}
         self.clocks: dict[str, int] = {}  # by how much each one's clock is wrong
-        self.history: list[Asked] = []
-        self.open: dict[tuple[str, int, int], Asked] = {}
+        self.history: list[Operation] = []
+        self.open: dict[tuple[str, int, int], Operation] = {}
         self.lines: list[tuple[int, str, str]] = []
         self._queue: list[tuple[int, int, str, str, Any]] = []
         self._count = 0
         self._woken: dict[str, int] = {}
         self.tokens = 0
-        self.carried = 0
-        self.same_number = False  # planted: who has lost its memory passes for the voter that it was
-        self.spoil: Callable[[int, str, str], int] | None = None  # of datagram n: how many copies arrive
+        self.messages_sent = 0
+        self.reuse_store_id = False  # planted: who has lost its memory passes for the voter that it was
+        self.copies_override: Callable[[int, str, str], int] | None = (
+            None  # of datagram n: how many copies arrive
+        )
 
-    def _usual(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Copies:
-        return Copies(name, store, self.founders, now, rng, self.terms, founding=founding)
+    def _usual(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
+        return Replica(name, store, self.founders, now, rng, self.terms, founding=founding)
 
     # ------------------------------------------------------------ machines
 
@@ -105,62 +107,62 @@
             machine = self.build(
                 name, disk.store, self._clock(name), Random(self.rng.getrandbits(60)), disk.fresh
             )
-            machine.restore([record(pack(r)) for r in disk.synced], self._clock(name))
-            self.up[name] = machine
+            machine.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
+            self.running[name] = machine
             self._woken.pop(name, None)
-            self._after(name)
+            self._process_output(name)
 
     def _clock(self, name: str) -> int:
         return self.now + self.clocks.get(name, 0)
 
     def crash(self, name: str, wipe: bool = False) -> None:
         """What is not durable is lost, but for a part that had got as far as the disk."""
-        if self.up.pop(name, None):
+        if self.running.pop(name, None):
             disk = self.disks[name]
-            disk.synced += disk.behind[: self.rng.randrange(len(disk.behind) + 1)]
-            disk.behind.clear()
+            disk.synced += disk.unsynced[: self.rng.randrange(len(disk.unsynced) + 1)]
+            disk.unsynced.clear()
             disk.busy = disk.full = False
             for key in [k for k in self.open if k[0] == name]:
-                self._ended(self.open.pop(key), PERHAPS, b"")
+                self._ended(self.open.pop(key), UNCERTAIN, b"")
         self.frozen.pop(name, None)
         self.lives[name] = self.lives.get(name, 0) + 1
         if wipe and name in self.disks:
             store = self.disks.pop(name).store
-            if self.same_number:
+            if self.reuse_store_id:
                 self.disks[name] = Disk(store, fresh=False)
 
     def freeze(self, name: str) -> None:
-        if name in self.up:
+        if name in self.running:
             self.frozen.setdefault(name, [])
 
-    def wake(self, name: str) -> None:
+    def unfreeze(self, name: str) -> None:
         for sender, data in self.frozen.pop(name, [])[:200]:
             self._take(name, sender, data)
-        if name in self.up:
+        if name in self.running:
             self._ring(name)
 
-    def fill(self, name: str) -> None:
+    def fill_disk(self, name: str) -> None:
         """Its disk takes nothing any more."""
-        if name in self.up:
+        if name in self.running:
             self.disks[name].full = True
 
     # ------------------------------------------------------------ clients
 
-    def ask(self, name: str, key: bytes) -> Asked | None:
+    def append_token(self, name: str, key: bytes) -> Operation | None:
         """A client asks this one to put a token behind what stands under `key`."""
-        if name not in self.up or name in self.frozen:
+        if name not in self.running or name in self.frozen:
             return None
         self.tokens += 1
-        asked = Asked(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
+        asked = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
         self.history.append(asked)
-        machine = self.up[name]
+        machine = self.running[name]
         number = machine.propose(self._clock(name), key, Append(asked.token))
         self.open[name, self.lives[name], number] = asked
-        self._after(name)
+        self._process_output(name)
         return asked
 
-    def _ended(self, asked: Asked, how: str, value: bytes) -> None:
-        asked.ended, asked.how, asked.value = self.now, how, value
+    def _ended(self, asked: Operation, how: str, value: bytes) -> None:
+        asked.ended, asked.outcome, asked.value = self.now, how, value
 
     # ------------------------------------------------------------ time
 
@@ -171,7 +173,7 @@
             self.now = max(self.now, due)
             if kind == "call":
                 what()
-            elif name not in self.up:
+            elif name not in self.running:
                 continue
             elif kind == "data":
                 if name in self.frozen:
@@ -184,88 +186,88 @@
                 self._ring(name)
         self.now = end
 
-    def at(self, span: int, call: Callable[[], Any]) -> None:
+    def call_after(self, span: int, call: Callable[[], Any]) -> None:
         self._put(self.now + span, "call", "", call)
 
     def _take(self, name: str, sender: str, data: bytes) -> None:
-        self.up[name].heard(self._clock(name), sender, unpack(data))
-        self._after(name)
+        self.running[name].receive(self._clock(name), sender, unpack(data))
+        self._process_output(name)
 
     def _ring(self, name: str) -> None:
-        self.up[name].advance(self._clock(name), max(0, self.now - self._woken.get(name, self.now)))
-        self._after(name)
+        self.running[name].advance(self._clock(name), max(0, self.now - self._woken.get(name, self.now)))
+        self._process_output(name)
 
-    def _after(self, name: str) -> None:
-        machine = self.up[name]
-        records, out, done = machine.take()
-        self.disks[name].behind += records
+    def _process_output(self, name: str) -> None:
+        machine = self.running[name]
+        records, out, done = machine.drain_output()
+        self.disks[name].unsynced += records
         self._sync(name)
         by: dict[str, list[Message]] = {}
         for to, message in out:
             by.setdefault(to, []).append(message)
         for to, messages in by.items():
-            self._send(name, to, pack(Bundle(machine.me.store, messages[:64])))
+            self._send(name, to, pack(MessageBatch(machine.self_voter.store_id, messages[:64])))
         for result in done:
             self._result(name, result)
-        self.lines += [(self.now, name, line) for line in machine.lines]
-        machine.lines.clear()
-        due = max(self.now + 1, machine.due() - self.clocks.get(name, 0))
+        self.lines += [(self.now, name, line) for line in machine.log_lines]
+        machine.log_lines.clear()
+        due = max(self.now + 1, machine.next_deadline() - self.clocks.get(name, 0))
         if name not in self._woken or due < self._woken[name] or self._woken[name] <= self.now:
             self._woken[name] = due
             self._put(due, "ring", name, self.lives[name])
 
     def _send(self, name: str, to: str, data: bytes) -> None:
-        self.carried += 1
-        copies = self.net.carry(name, to, data)
-        if self.spoil:
-            copies = copies[:1] * self.spoil(self.carried, name, to)
+        self.messages_sent += 1
+        copies = self.net.deliveries(name, to, data)
+        if self.copies_override:
+            copies = copies[:1] * self.copies_override(self.messages_sent, name, to)
         for wait, copy in copies:
             self._put(self.now + wait, "data", to, (name, copy))
 
     def _sync(self, name: str) -> None:
         disk = self.disks[name]
-        if disk.behind and not disk.busy:
+        if disk.unsynced and not disk.busy:
             if disk.full:
-                if not self.up[name].broken:
-                    self.up[name].fail("no space left")
+                if not self.running[name].store_failure:
+                    self.running[name].fail_store("no space left")
                 return
             disk.busy = True
             delay = 1 + int(disk.delay * 2 * self.rng.random())
-            self._put(self.now + delay, "synced", name, (self.lives[name], len(disk.behind)))
+            self._put(self.now + delay, "synced", name, (self.lives[name], len(disk.unsynced)))
 
     def _synced(self, name: str, what: tuple[int, int]) -> None:
         life, count = what
-        disk, machine = self.disks[name], self.up[name]
+        disk, machine = self.disks[name], self.running[name]
         if life != self.lives[name]:
             return
         disk.busy = False
         if disk.full:
-            machine.fail("no space left")
+            machine.fail_store("no space left")
         else:
-            disk.synced += disk.behind[:count]
-            del disk.behind[:count]
+            disk.synced += disk.unsynced[:count]
+            del disk.unsynced[:count]
             disk.fresh = disk.fresh and not disk.synced
             if (
                 name in self.frozen
             ):  # the disk goes on while the process stands still; it hears of it when it wakes
-                self.at(0, lambda: self._told(name, life, count))
+                self.call_after(0, lambda: self._told(name, life, count))
                 return
-            machine.persisted(self._clock(name), machine.durable + count)
-        self._after(name)
+            machine.mark_durable(self._clock(name), machine.durable_index + count)
+        self._process_output(name)
 
     def _told(self, name: str, life: int, count: int) -> None:
-        if life != self.lives[name] or name not in self.up:
+        if life != self.lives[name] or name not in self.running:
             return
         if name in self.frozen:
-            self.at(10 * MS, lambda: self._told(name, life, count))
+            self.call_after(10 * MS, lambda: self._told(name, life, count))
             return
-        self.up[name].persisted(self._clock(name), self.up[name].durable + count)
-        self._after(name)
+        self.running[name].mark_durable(self._clock(name), self.running[name].durable_index + count)
+        self._process_output(name)
 
-    def _result(self, name: str, result: Result) -> None:
-        asked = self.open.pop((name, self.lives[name], result.number), None)
+    def _result(self, name: str, result: OperationResult) -> None:
+        asked = self.open.pop((name, self.lives[name], result.operation), None)
         if asked:
-            self._ended(asked, result.how, result.value)
+            self._ended(asked, result.outcome, result.value)
 
     def _put(self, due: int, kind: str, name: str, what: Any) -> None:
         self._count += 1
@@ -276,10 +278,10 @@
     def read(self, key: bytes) -> bytes | None:
         """What stands there, as a majority tells: an operation of its own, tried at each that is up."""
         for _ in range(40):
-            for name in sorted(self.up):
-                asked = self.ask(name, key)
+            for name in sorted(self.running):
+                asked = self.append_token(name, key)
                 self.run(SECOND)
-                if asked and asked.how == WROTE:
+                if asked and asked.outcome == WRITTEN:
                     return asked.value
         return None
 
@@ -288,7 +290,7 @@
     return [value[i : i + TOKEN] for i in range(0, len(value), TOKEN)]
 
 
-def breaches(history: list[Asked]) -> list[str]:
+def linearizability_violations(history: list[Operation]) -> list[str]:
     """What no linearizable register could have answered, in order of time; the shortest history that shows each. The
     last operation on each register must be one that was answered."""
     found: list[str] = []
@@ -298,8 +300,8 @@
     return found
 
 
-def _of_register(key: bytes, ops: list[Asked]) -> list[str]:
-    done = [op for op in ops if op.how == WROTE]
+def _of_register(key: bytes, ops: list[Operation]) -> list[str]:
+    done = [op for op in ops if op.outcome == WRITTEN]
     if not done:
         return []
     final = tokens(max(done, key=lambda op: (op.ended, len(op.value))).value)
@@ -313,14 +315,14 @@
             text = f"token {_short(op.token)} was answered {_list(seen)}, in the end {_list(final)}"
             found.append(f"{key.hex()[:6]}: {text}")
     for op in ops:
-        if op.how not in (WROTE, PERHAPS, "") and op.how != LEFT and op.token in place:
+        if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in place:
             found.append(
                 f"{key.hex()[:6]}: token {_short(op.token)} was told as not written, and stands there"
             )
     order = sorted((op for op in ops if op.token in place), key=lambda op: place[op.token])
     latest = 0
     for op in order:
-        if op.ended and op.how == WROTE and op.ended < latest:
+        if op.ended and op.outcome == WRITTEN and op.ended < latest:
             found.append(
                 f"{key.hex()[:6]}: token {_short(op.token)} stands behind one that began after its end"
             )
--- a/slatelab/plant/capacity.py
+++ b/slatelab/plant/capacity.py
@@ -10,14 +10,14 @@
 
 from slatelab.scenario import Arrivals, Kind, Scenario
 
-from .draw import Draw
-from .workload import SECOND, arrivals, window
+from .random_streams import RandomStreams
+from .workload import SECOND, generate_arrivals, window
 
-_NO_CHANCE = Draw(0)  # a trace, the one kind counted from its arrivals, draws nothing
+_NO_CHANCE = RandomStreams(0)  # a trace, the one kind counted from its arrivals, draws nothing
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class TierLoad:
     """One tier: work asked for a second on average and in the busiest second, and what the nodes do in a
     second. All three are in cores of speed 1."""
 
@@ -27,7 +27,7 @@
     capacity: float
 
 
-def offered(scenario: Scenario, folder: Path | None = None) -> list[Load]:
+def offered_load(scenario: Scenario, folder: Path | None = None) -> list[TierLoad]:
     """The load of each tier. Traces count only where their `folder` is given; raises ScenarioError for a
     faulty one."""
     seconds = _work_by_second(scenario, folder)
@@ -36,12 +36,12 @@
     loads, calls = [], 1.0
     for tier in scenario.tiers:
         part = calls * tier.work
-        loads.append(Load(tier.name, mean * part, peak * part, sum(_carries(kind) for kind in tier.kind)))
+        loads.append(TierLoad(tier.name, mean * part, peak * part, sum(_carries(kind) for kind in tier.kind)))
         calls *= tier.calls
     return loads
 
 
-def problems(scenario: Scenario, folder: Path | None = None) -> list[str]:
+def overload_errors(scenario: Scenario, folder: Path | None = None) -> list[str]:
     """A line, `key: reason`, for each tier that cannot carry its mean load, unless the scenario says
     overload = true."""
     if scenario.scenario.overload:
@@ -50,7 +50,7 @@
         f"tier.{t}: {load.tier!r} is asked for {load.mean:.2f} s of work a second on"
         f" average and its nodes do {load.capacity:.2f} ({load.mean / load.capacity:.0%});"
         " say scenario.overload = true if that is meant"
-        for t, load in enumerate(offered(scenario, folder))
+        for t, load in enumerate(offered_load(scenario, folder))
         if load.mean > load.capacity
     ]
 
@@ -95,7 +95,7 @@
     unnamed = _mean_work(scenario, scenario.arrivals[i])
     return [
         (a.at // SECOND, unnamed if a.cls is None else scenario.classes[a.cls].work.mean / SECOND)
-        for a in arrivals(scenario, _NO_CHANCE, folder, i)
+        for a in generate_arrivals(scenario, _NO_CHANCE, folder, i)
     ]
 
 
--- a/slatelab/plant/check.py
+++ b/slatelab/plant/check.py
@@ -7,21 +7,21 @@
 
 from slatelab.scenario import Scenario, ScenarioError
 
-from .capacity import expected_orders, problems
-from .draw import Draw
-from .faults import schedule
-from .fleet import fleet, proxies
+from .capacity import expected_orders, overload_errors
+from .faults import build_fault_schedule
+from .fleet import build_nodes, build_proxies
+from .random_streams import RandomStreams
 from .workload import MOST
 
 
-def wrong(scenario: Scenario, folder: Path) -> list[str]:
+def find_errors(scenario: Scenario, folder: Path) -> list[str]:
     """A line for each fault, `key: reason`; none if all is well. `folder` is where trace files are looked
     for."""
     try:
-        draw = Draw(scenario.scenario.seed)
-        nodes = fleet(scenario, draw)
-        schedule(scenario, draw, nodes, proxies(scenario, nodes))
-        carried = problems(scenario, folder)
+        draw = RandomStreams(scenario.scenario.seed)
+        nodes = build_nodes(scenario, draw)
+        build_fault_schedule(scenario, draw, nodes, build_proxies(scenario, nodes))
+        carried = overload_errors(scenario, folder)
     except ScenarioError as problem:
         return [line.removeprefix(f"{scenario.scenario.name}: ") for line in problem.lines]
     orders = expected_orders(scenario, folder)
--- a/slatelab/plant/client.py
+++ b/slatelab/plant/client.py
@@ -12,32 +12,32 @@
 
 from .workload import Order
 
-End = Literal["served", "refused", "failed", "gone", "unheard", "gave-up"]
+AttemptOutcome = Literal["served", "refused", "failed", "gone", "unheard", "gave-up"]
 """How a try ended: "served" 200; "refused" 429 or 503; "failed" any other answer; "gone" the connection broke
 after the whole request was written; "unheard" before that, or it never came up; "gave-up" the caller's patience
 was over."""
 
 
 @dataclass(frozen=True, slots=True)
-class TryAgain:
+class Retry:
     at: int  # microseconds since the run's epoch
 
 
-def until(scenario: Scenario, order: Order, sent: int) -> int:
+def attempt_timeout_at(scenario: Scenario, order: Order, sent: int) -> int:
     """When the client gives up the try that it sends at `sent`: its patience of one try, and never later than
     the class's deadline counted from the order itself, over all tries."""
     return min(sent + order.patience_us, order.at + scenario.classes[order.cls].deadline)
 
 
-def after(
+def next_retry(
     scenario: Scenario,
     order: Order,
     attempt: int,
     now: int,
-    end: End,
+    end: AttemptOutcome,
     retry_after_us: int,
     rng: random.Random,
-) -> TryAgain | None:
+) -> Retry | None:
     """The next try after number `attempt` (0 the first) has ended at `now`; None where there is none. An
     unsafe order comes back only if nothing can have run, a client that honours Retry-After when it says (at
     most proxy.max_retry_after later), any other after its backoff, and nobody after the class's deadline."""
@@ -45,13 +45,17 @@
         return None
     if not (_harmless(end) or scenario.classes[order.cls].effect == "safe" or scenario.clients.reckless):
         return None
-    told = min(retry_after_us, scenario.proxy.max_retry_after) if end == "refused" and order.honours else 0
+    told = (
+        min(retry_after_us, scenario.proxy.max_retry_after)
+        if end == "refused" and order.honours_retry_after
+        else 0
+    )
     wait = told if told > 0 else backoff(scenario, attempt, rng)
     last = order.at + scenario.classes[order.cls].deadline
-    return TryAgain(now + wait) if now + wait < last else None
+    return Retry(now + wait) if now + wait < last else None
 
 
-def _harmless(end: End) -> bool:
+def _harmless(end: AttemptOutcome) -> bool:
     return end in ("refused", "unheard")
 
 
--- a/slatelab/plant/faults.py
+++ b/slatelab/plant/faults.py
@@ -2,9 +2,9 @@
 changes, each at a moment and for named targets, and the sum of the conditions that lie on one node. It must
 never know what is alive or carry anything out; the engines do.
 
-The kinds of Change, to be carried out by every engine. Node targets name places: the id of the node that
+The kinds of FaultEvent, to be carried out by every engine. Node targets name places: the id of the node that
 stood there at the beginning, whichever holds the place now. "begins" is True for all; those marked * last,
-and end with a Change whose `begins` is False (none where `for` is 0: until the run is over).
+and end with a FaultEvent whose `is_start` is False (none where `for` is 0: until the run is over).
 
     kill            the process dies: connections reset, new ones refused; discovery: gone. Nothing if down
     drain           discovery: DRAINING; the node is told. Nothing if down
@@ -19,7 +19,7 @@
     heavy-tail*     a share spec.part of the requests (of spec.cls, if given) costs spec.factor times the work
     strip-headers*  its calls to the next tier carry the class's whole deadline for the time left, and no marks
     discovery-down* no targets: discovery answers nothing
-    discovery-lies* discovery tells the targets, all of one tier, as gone; a Change for each tier
+    discovery-lies* discovery tells the targets, all of one tier, as gone; a FaultEvent for each tier
     proxy-kill      SIGKILL to the proxies named
     proxy-stop      SIGTERM; it may finish what it has
     proxy-end       SIGKILL, if it still runs after a proxy-stop
@@ -43,31 +43,33 @@
 
 from slatelab.scenario import Fault, Scenario, ScenarioError
 
-from .draw import Draw
 from .fleet import NodeSpec, ProxySpec
+from .random_streams import RandomStreams
 
 ON_A_NODE = frozenset(("freeze", "black-hole", "slow", "errors", "heavy-tail", "strip-headers"))
-BETWEEN_PEERS = frozenset(("peer-cut", "peer-mute", "peer-lossy"))
-LASTING = ON_A_NODE | BETWEEN_PEERS | {"discovery-down", "discovery-lies", "proxy-freeze"}
+PEER_FAULTS = frozenset(("peer-cut", "peer-mute", "peer-lossy"))
+DURABLE_FAULTS = ON_A_NODE | PEER_FAULTS | {"discovery-down", "discovery-lies", "proxy-freeze"}
 MOST = 100_000  # changes in a day
 RESET_EVERY = 1_000_000
 STOP_MOST_US, STOP_MORE_US = 3_000_000, 700_000
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class FaultEvent:
     """One thing to carry out. `fault` is the name of the entry, "<kind>-<n>" where it has none; `spec` is the
     entry."""
 
     at: int
     fault: str
     kind: str
-    begins: bool
+    is_start: bool
     targets: tuple[str, ...]
     spec: Fault
 
 
-def schedule(scenario: Scenario, draw: Draw, fleet: list[NodeSpec], proxies: list[ProxySpec]) -> list[Change]:
+def build_fault_schedule(
+    scenario: Scenario, draw: RandomStreams, fleet: list[NodeSpec], proxies: list[ProxySpec]
+) -> list[FaultEvent]:
     """All changes by time; those of one moment in the order of the schedule. Some may lie after the last
     arrival. Raises ScenarioError for targets that do not exist, and for `after` a fault that never ends; all
     of them at once."""
@@ -89,15 +91,15 @@
     """Takes the entries in their order; `ends` holds, by name, when an entry is over (None: never)."""
 
     def __init__(
-        self, scenario: Scenario, draw: Draw, fleet: list[NodeSpec], proxies: list[ProxySpec]
+        self, scenario: Scenario, draw: RandomStreams, fleet: list[NodeSpec], proxies: list[ProxySpec]
     ) -> None:
-        self.scenario, self.draw = scenario, draw
+        self.scenario, self.random_streams = scenario, draw
         self.tiers = {tier.name: t for t, tier in enumerate(scenario.tiers)}
         self.nodes = [[node.id for node in fleet if node.tier == t] for t in range(len(scenario.tiers))]
         self.proxies = [
             [proxy.name for proxy in proxies if proxy.tier == t] for t in range(len(scenario.tiers))
         ]
-        self.changes: list[Change] = []
+        self.changes: list[FaultEvent] = []
         self.ends: dict[str, int | None] = {}
         self.wrong: list[str] = []
 
@@ -105,7 +107,7 @@
         fault = self.scenario.faults[i]
         begins = fault.at + self._after(i, fault)
         several = (
-            Change(begins + n * fault.stagger + offset, _label(i, fault), kind, start, targets, fault)
+            FaultEvent(begins + n * fault.stagger + offset, _label(i, fault), kind, start, targets, fault)
             for n, targets in enumerate(self._groups(i, fault))
             for offset, kind, start in _parts(fault, stop_span(self.scenario))
         )
@@ -114,7 +116,7 @@
         if len(self.changes) > MOST:
             raise ScenarioError([f"{self.scenario.scenario.name}: fault.{i}: makes more than {MOST} changes"])
         last = max((change.at for change in made if change.kind != "proxy-end"), default=begins)
-        self.ends[fault.name] = None if fault.kind in LASTING and not fault.span else last
+        self.ends[fault.name] = None if fault.kind in DURABLE_FAULTS and not fault.span else last
 
     def _after(self, i: int, fault: Fault) -> int:
         if not fault.after:
@@ -164,7 +166,7 @@
 
     def _some(self, i: int, known: list[str], wanted: int, tier: int) -> tuple[str, ...]:
         """So many of them by the seed, in the order in which they stand."""
-        chosen = self.draw.stream("fault", i, tier).sample(range(len(known)), wanted)
+        chosen = self.random_streams.stream("fault", i, tier).sample(range(len(known)), wanted)
         return tuple(known[place] for place in sorted(chosen))
 
     def _say(self, i: int, key: str, reason: str) -> None:
@@ -200,14 +202,14 @@
         yield patience, "proxy-end", True
     if span and kind in ("kill", "proxy-kill", "proxy-stop"):
         yield span, "start" if kind == "kill" else "proxy-start", True
-    if span and kind in LASTING:
+    if span and kind in DURABLE_FAULTS:
         yield span, kind, False
 
 
 # ---------------------------------------------------------------- what lies on a node
 
 
-class Standing:
+class ActiveFaults:
     """The faults that lie on each place now, and what they come to together. A node that starts or is renewed
     finds them still there, as they are the machine's."""
 
@@ -215,19 +217,21 @@
         self._classes = [cls.name for cls in scenario.classes]
         self._open: dict[str, dict[tuple[str, str], Fault]] = {}
 
-    def note(self, change: Change) -> list[tuple[str, dict[str, Any]]]:
-        """Takes a change in; gives, for each place it touches, the arguments of NodeMachine.condition that
+    def apply(self, change: FaultEvent) -> list[tuple[str, dict[str, Any]]]:
+        """Takes a change in; gives, for each place it touches, the arguments of NodeSimulator.set_conditions that
         hold from now on. Nothing for kinds that set no condition."""
         if change.kind not in ON_A_NODE:
             return []
         for place in change.targets:
             held = self._open.setdefault(place, {})
             held.pop((change.fault, change.kind), None)
-            if change.begins:
+            if change.is_start:
                 held[change.fault, change.kind] = change.spec
-        return [(place, self.of(place)) for place in change.targets if change.kind != "black-hole"]
+        return [
+            (place, self.conditions_for(place)) for place in change.targets if change.kind != "black-hole"
+        ]
 
-    def of(self, place: str) -> dict[str, Any]:
+    def conditions_for(self, place: str) -> dict[str, Any]:
         """`slow` multiplies; `errors` adds up as chances of independent causes do; `frozen` and `strip` hold
         while any does; of several heavy tails the latest begun holds."""
         held = self._open.get(place, {})
@@ -243,7 +247,7 @@
             "strip": "strip-headers" in kinds,
         }
 
-    def cut(self, place: str) -> bool:
+    def is_black_holed(self, place: str) -> bool:
         """Whether a black hole holds the place now."""
         return any(kind == "black-hole" for _, kind in self._open.get(place, {}))
 
--- a/slatelab/plant/fleet.py
+++ b/slatelab/plant/fleet.py
@@ -10,7 +10,7 @@
 
 from slatelab.scenario import Kind, Scenario, ScenarioError
 
-from .draw import Draw
+from .random_streams import RandomStreams
 
 MOST = 20_000
 NODES, PROXIES = 16, 128  # second byte of the first address: 127.16.0.1 and 127.128.0.1
@@ -28,25 +28,25 @@
     address: str
 
     @property
-    def place(self) -> str:
+    def original_id(self) -> str:
         """The id of the node that stood here when the day began; faults name nodes by it."""
         return RENEWED.sub("", self.id)
 
 
 @dataclass(frozen=True, slots=True)
 class ProxySpec:
-    """One proxy. `tier` is the one it sends to, `me` its number among the `siblings` that do; `owner` is the
+    """One proxy. `tier` is the one it sends to, `me` its number among the `sibling_count` that do; `owner` is the
     place whose node calls through it, "" where its callers are the clients."""
 
     name: str
     tier: int
-    me: int
-    siblings: int
-    owner: str
+    index: int
+    sibling_count: int
+    owner_node: str
     address: str
 
 
-def fleet(scenario: Scenario, draw: Draw) -> list[NodeSpec]:
+def build_nodes(scenario: Scenario, draw: RandomStreams) -> list[NodeSpec]:
     """All nodes, tier by tier, numbered from 1 in each. Raises ScenarioError where there are more than
     MOST."""
     if (count := sum(kind.nodes for tier in scenario.tiers for kind in tier.kind)) > MOST:
@@ -60,7 +60,7 @@
     return nodes
 
 
-def proxies(scenario: Scenario, fleet: list[NodeSpec]) -> list[ProxySpec]:
+def build_proxies(scenario: Scenario, fleet: list[NodeSpec]) -> list[ProxySpec]:
     """The first tier has as many as it says; in a later one every node of the tier before has its own.
     Raises ScenarioError where there are more than MOST."""
     if (count := scenario.tiers[0].proxies) > MOST:
@@ -68,7 +68,7 @@
     return list(_proxies(scenario, fleet))
 
 
-def turns(count: int, skew: int) -> list[int]:
+def weighted_round_robin(count: int, skew: int) -> list[int]:
     """The order in which a front hands callers out to so many proxies, over and over: the first has `skew` turns for
     each one of the others, spread evenly."""
     others = list(range(1, count))
@@ -88,10 +88,10 @@
 def replacement(old: NodeSpec, life: int) -> NodeSpec:
     """The node that takes the place of another: a new id, the same machine. `life` (1 or more) counts the
     starts at this place, so that no id comes twice."""
-    return replace(old, id=f"{old.place}-r{life}")
+    return replace(old, id=f"{old.original_id}-r{life}")
 
 
-def _speed(kind: Kind, draw: Draw, name: str) -> float:
+def _speed(kind: Kind, draw: RandomStreams, name: str) -> float:
     return draw.stream("speed", name).uniform(*kind.speed) if isinstance(kind.speed, tuple) else kind.speed
 
 
--- a/slatelab/plant/node.py
+++ b/slatelab/plant/node.py
@@ -16,14 +16,22 @@
 from slatelab.scenario import Scenario
 
 from .fleet import NodeSpec
-from .node_acts import Act, Call, CallOut, Falls, Reply, Starts
-from .node_cold import Pressure, Ramp
+from .node_cold import ColdOverloadDetector, WarmupRamp
 from .node_cores import Cores
 from .node_load import Load
+from .node_messages import DownstreamCall, NodeCrashed, NodeOutput, NodeRequest, Reply, WorkStarted
 from .node_pace import Overdrive, Pace, Pauses
 from .workload import call_count, call_work
 
-__all__ = ["Act", "Call", "CallOut", "Falls", "NodeMachine", "Reply", "Starts"]
+__all__ = [
+    "NodeOutput",
+    "NodeRequest",
+    "DownstreamCall",
+    "NodeCrashed",
+    "NodeSimulator",
+    "Reply",
+    "WorkStarted",
+]
 
 INSTANT = 1e-3  # microseconds that count as none: without it the last digit of a sum would cost a whole one
 ERROR_WORK = 0.01  # the part of its work that a request costs which fails at once
@@ -37,12 +45,12 @@
 
     __slots__ = ("call", "done", "fails", "parts", "serial", "work")
 
-    def __init__(self, call: Call, serial: int, work: int) -> None:
+    def __init__(self, call: NodeRequest, serial: int, work: int) -> None:
         self.call, self.serial, self.work = call, serial, work
         self.done, self.parts, self.fails = 0, 1, False
 
 
-class NodeMachine:
+class NodeSimulator:
     """One life of a node, from its start at `now`. `life` counts its starts before this; `cold`: it begins
     with the share of kind.cold. Whatever is called returns all that the node has done up to `now`, of other
     attempts too, in order; what `connect` cannot return comes with the next call, for which `due` asks at
@@ -52,12 +60,12 @@
     waits for the next tier keeps its slot and leaves the cores. The handshake of a new connection takes a
     core's share and no slot.
 
-    After Falls the node is dead: it takes no connection, and nothing more comes from it."""
+    After NodeCrashed the node is dead: it takes no connection, and nothing more comes from it."""
 
     __slots__ = (
         "_acts", "_at", "_calling", "_connections", "_cores", "_dead", "_draining", "_errors", "_in_work",
         "_load", "_noted", "_out", "_pace", "_pressure", "_rng", "_scenario", "_serial", "_spec", "_strip",
-        "_tail", "_unheard", "_unread", "_waiting", "held", "last_work", "life",
+        "_tail", "_unheard", "_unread", "_waiting", "pending_requests", "last_work", "life",
     )  # fmt: skip
 
     def __init__(
@@ -65,10 +73,10 @@
     ) -> None:
         kind = spec.kind
         self._scenario, self._spec, self._rng, self._at, self.life = scenario, spec, rng, now, life
-        self._acts: list[Act] = []
+        self._acts: list[NodeOutput] = []
         self._cores: Cores[_Job | None] = Cores(kind.cores)  # None: a handshake
         self._load = Load(kind.cores, kind.report_every, now)
-        self._build(Ramp(now, kind.cold.share, kind.cold.span) if cold else Ramp(now, 1.0, 0))
+        self._build(WarmupRamp(now, kind.cold.share, kind.cold.span) if cold else WarmupRamp(now, 1.0, 0))
         self._noted = bool(kind.thrash or kind.choke)  # it matters how many are held
         self._calling = spec.tier + 1 < len(scenario.tiers) and scenario.tiers[spec.tier].calls > 0
         self._waiting: OrderedDict[int, _Job] = OrderedDict()
@@ -79,17 +87,19 @@
         self._tail: tuple[float, float, int | None] = (0.0, 1.0, None)
         self._dead = self._draining = self._strip = False
         self._connections = self._in_work = self._serial = 0
-        self.held = 0  # in work and waiting
+        self.pending_requests = 0  # in work and waiting
         self.last_work = 0  # of the attempt that came last, in microseconds at speed 1, a heavy tail included
 
-    def _build(self, ramp: Ramp) -> None:
+    def _build(self, ramp: WarmupRamp) -> None:
         kind, speed, rules = self._spec.kind, self._spec.speed, self._scenario.rules
         choke = Overdrive(kind.choke, kind.cores) if kind.choke else None
         pauses = Pauses(kind.pause, self._rng, self._at) if kind.pause else None
         self._pace = Pace(self._at, speed, ramp, choke, pauses)
-        self._pressure: Pressure | None = None
+        self._pressure: ColdOverloadDetector | None = None
         if kind.cold.falls and ramp.share(self._at) < 1:
-            self._pressure = Pressure(ramp, kind.cores * speed, rules.fall_multiple, rules.fall_window)
+            self._pressure = ColdOverloadDetector(
+                ramp, kind.cores * speed, rules.fall_multiple, rules.fall_window
+            )
 
     # ---------------------------------------------------------------- what befalls it
 
@@ -110,7 +120,7 @@
         """One of the proxy's connections has ended. What runs is not touched: see `cancel`."""
         self._connections = max(0, self._connections - 1)
 
-    def arrive(self, now: int, call: Call) -> list[Act]:
+    def arrive(self, now: int, call: NodeRequest) -> list[NodeOutput]:
         """The last byte of an attempt has come. A frozen node reads it when it thaws; beyond as many as it
         takes connections, which cannot be, it never does."""
         if self._dead:
@@ -126,7 +136,7 @@
             self._unread[call.key] = job
         return self._told()
 
-    def cancel(self, now: int, key: int) -> list[Act]:
+    def cancel(self, now: int, key: int) -> list[NodeOutput]:
         """The caller has closed the attempt's connection. What waits is dropped where kind.drops_cancelled,
         and so is what a frozen node has not read; what runs goes on to its Reply."""
         self._run(now)
@@ -137,8 +147,8 @@
                 self._count(now, 0, -1)
         return self._told()
 
-    def returned(self, now: int, key: int, index: int, ok: bool) -> list[Act]:
-        """The CallOut of this key and index has ended. Not ok: Reply 500 at once. Of others nothing is
+    def downstream_call_finished(self, now: int, key: int, index: int, ok: bool) -> list[NodeOutput]:
+        """The DownstreamCall of this key and index has ended. Not ok: Reply 500 at once. Of others nothing is
         made."""
         self._run(now)
         job = self._out.get(key)
@@ -149,7 +159,7 @@
                 self._go_on(now, key, ok)
         return self._told()
 
-    def due(self) -> int | None:
+    def next_event_time(self) -> int | None:
         """When `advance` next has something to do, never before the time it was last told; None: not by
         itself. O(1)."""
         if self._acts:
@@ -159,16 +169,16 @@
         wait = min(self._pace.time(self._at, self._cores.need()), self._pace.until - self._at)
         return None if wait == inf else self._at + max(0, ceil(wait - INSTANT))
 
-    def advance(self, now: int) -> list[Act]:
+    def advance(self, now: int) -> list[NodeOutput]:
         """What has happened by itself up to now."""
         self._run(now)
         return self._told()
 
-    def condition(
+    def set_conditions(
         self, now: int, *, slow: float | None = None, errors: float | None = None, frozen: bool | None = None,
         draining: bool | None = None, tail: tuple[float, float, int | None] | None = None,
         strip: bool | None = None,
-    ) -> list[Act]:  # fmt: skip
+    ) -> list[NodeOutput]:  # fmt: skip
         """Faults begin or end; None leaves one as it is. `slow`: so many times (1: as usual); `errors`: the
         share of requests that fails at once (kind.errors at least); `frozen`: does and answers nothing;
         `draining`: turns what comes away; `tail`: (share, factor, class or None for all) of what arrives
@@ -186,7 +196,7 @@
             self._thaw(now)
         return self._told()
 
-    def report(self, now: int) -> dict[str, float]:
+    def load_report(self, now: int) -> dict[str, float]:
         """`qps`: answers a second to what has run; `util`: busy share of the cores, 0 to 1; both of the last
         second or so, as they were when last refreshed, which is every kind.report_every."""
         load = self._load
@@ -194,7 +204,7 @@
             load.refresh(now, 0.0 if self._pace.frozen else (now - self._at) * self._cores.busy())
         return {"qps": load.qps, "util": min(1.0, max(0.0, load.util))}
 
-    def present(self, now: int) -> float:
+    def available_capacity(self, now: int) -> float:
         """The share of its capacity that it can do now, 0 to 1: under 1 while it starts from cold."""
         return self._pace.ramp.share(now)
 
@@ -208,7 +218,7 @@
         while True:
             t = now - left
             if pace.until <= t + INSTANT:
-                pace.turn(self.held)
+                pace.turn(self.pending_requests)
                 continue
             room = min(left, pace.until - t)
             if cores.heap:
@@ -231,13 +241,13 @@
         if not self._pace.frozen:
             self._load.busy += span * self._cores.busy()
 
-    def _told(self) -> list[Act]:
+    def _told(self) -> list[NodeOutput]:
         acts, self._acts = self._acts, []
         return acts
 
     # ---------------------------------------------------------------- an attempt's way
 
-    def _work(self, call: Call) -> int:
+    def _work(self, call: NodeRequest) -> int:
         work = call_work(
             self._scenario, call.order_seed, call.order_work_us, call.cls, self._spec.tier, call.path
         )
@@ -263,7 +273,7 @@
     def _begin(self, job: _Job) -> None:
         """Takes the slot that has been counted for it."""
         call = job.call
-        self._acts.append(Starts(call.key))
+        self._acts.append(WorkStarted(call.key))
         if self._errors and self._rng.random() < self._errors:
             job.fails = True
             self._cores.add(job.work * ERROR_WORK, job)
@@ -283,14 +293,14 @@
             self._out[job.call.key] = job
             self._acts.append(self._call_out(job))
 
-    def _call_out(self, job: _Job) -> CallOut:
+    def _call_out(self, job: _Job) -> DownstreamCall:
         call, index = job.call, job.done - 1
         request = f"{call.request}/{self._spec.id}x{self.life * LIFE + job.serial}/{index}"
         path = f"{call.path}.{index}" if call.path else str(index)
         until = call.until
         if self._strip or not self._scenario.proxy.passes_deadline:
             until = self._at + self._scenario.classes[call.cls].deadline
-        return CallOut(call.key, index, request, path, until)
+        return DownstreamCall(call.key, index, request, path, until)
 
     def _go_on(self, t: float, key: int, ok: bool) -> None:
         job = self._out.pop(key)
@@ -313,9 +323,9 @@
 
     def _count(self, t: float, in_work: int, held: int) -> None:
         self._in_work += in_work
-        self.held += held
+        self.pending_requests += held
         if self._noted:
-            self._pace.held(t, self.held)
+            self._pace.held(t, self.pending_requests)
             self._strain()
 
     def _strain(self) -> None:
@@ -333,7 +343,7 @@
         for job in unread.values():
             self._read(now, job)
 
-    def _pushed_over(self, pressure: Pressure, now: int, work: int) -> bool:
+    def _pushed_over(self, pressure: ColdOverloadDetector, now: int, work: int) -> bool:
         if now < pressure.ramp.end:
             return pressure.add(now, work)
         self._pressure = None
@@ -341,8 +351,8 @@
 
     def _fall(self) -> None:
         self._dead = True
-        self._acts.append(Falls())
+        self._acts.append(NodeCrashed())
         self._cores.clear()
         for held in (self._waiting, self._out, self._unread, self._unheard):
             held.clear()
-        self.held = self._in_work = self._connections = 0
+        self.pending_requests = self._in_work = self._connections = 0
--- a/slatelab/plant/node_cold.py
+++ b/slatelab/plant/node_cold.py
@@ -7,7 +7,7 @@
 from math import inf
 
 
-class Ramp:
+class WarmupRamp:
     """The share of its capacity that a node can do: `first` up to `start`, then evenly rising to 1 over
     `span` microseconds, then 1."""
 
@@ -42,7 +42,7 @@
         return rising * (self.first + self.rise * rising / 2) + past - rising
 
 
-class Pressure:
+class ColdOverloadDetector:
     """Counts the work that reaches a cold node, also that which it turns away.
 
     A node falls at the arrival that brings the work of the last `window` microseconds, this arrival's
@@ -60,7 +60,7 @@
 
     __slots__ = ("_came", "_heaviest", "_sum", "full", "ramp", "window")
 
-    def __init__(self, ramp: Ramp, capacity: float, multiple: float, window: int) -> None:
+    def __init__(self, ramp: WarmupRamp, capacity: float, multiple: float, window: int) -> None:
         """`capacity`: work in microseconds at speed 1 that the warm node does each microsecond."""
         self.ramp, self.window = ramp, window
         self.full = multiple * capacity
--- a/slatelab/plant/node_acts.py
+++ b/slatelab/plant/node_messages.py
@@ -10,7 +10,7 @@
 import msgspec
 
 
-class Call(msgspec.Struct, frozen=True, gc=False):
+class NodeRequest(msgspec.Struct, frozen=True, gc=False):
     """A whole attempt that has reached a node. `key` is the engine's own and never comes twice; `path` says
     which call of its order it is ("" the client's own request); `until` is when its caller gives it up."""
 
@@ -34,7 +34,7 @@
     token: str = ""
 
 
-class CallOut(msgspec.Struct, frozen=True, gc=False):
+class DownstreamCall(msgspec.Struct, frozen=True, gc=False):
     """A call to the next tier for the attempt `key`, its `index`-th from 0, under an id of its own."""
 
     key: int
@@ -44,14 +44,14 @@
     until: int
 
 
-class Starts(msgspec.Struct, frozen=True, gc=False):
+class WorkStarted(msgspec.Struct, frozen=True, gc=False):
     """Work on an attempt has begun."""
 
     key: int
 
 
-class Falls(msgspec.Struct, frozen=True, gc=False):
+class NodeCrashed(msgspec.Struct, frozen=True, gc=False):
     """The node has been sent too much while cold: it is dead, and what it held is lost without an answer."""
 
 
-Act: TypeAlias = Reply | CallOut | Starts | Falls
+NodeOutput: TypeAlias = Reply | DownstreamCall | WorkStarted | NodeCrashed
--- a/slatelab/plant/node_pace.py
+++ b/slatelab/plant/node_pace.py
@@ -11,7 +11,7 @@
 
 from slatelab.scenario.types import Choke, Pause
 
-from .node_cold import Ramp
+from .node_cold import WarmupRamp
 
 
 class Overdrive:
@@ -75,7 +75,7 @@
     __slots__ = ("begun", "choke", "frozen", "level", "pauses", "ramp", "slope", "slow", "speed", "until")
 
     def __init__(
-        self, now: int, speed: float, ramp: Ramp, choke: Overdrive | None, pauses: Pauses | None
+        self, now: int, speed: float, ramp: WarmupRamp, choke: Overdrive | None, pauses: Pauses | None
     ) -> None:
         self.speed, self.ramp, self.choke, self.pauses = speed, ramp, choke, pauses
         self.slow, self.frozen = 1.0, False
--- a/slatelab/plant/draw.py
+++ b/slatelab/plant/random_streams.py
@@ -7,7 +7,7 @@
 import random
 
 
-class Draw:
+class RandomStreams:
     """All random numbers of one run. A stream costs some 5 microseconds to make, so that each order can have
     its own."""
 
--- a/slatelab/plant/settings.py
+++ b/slatelab/plant/settings.py
@@ -13,7 +13,7 @@
 ROOM = "machine-room"  # the one zone there is
 
 
-def settings(scenario: Scenario, proxy: ProxySpec) -> dict[str, Any]:
+def build_settings(scenario: Scenario, proxy: ProxySpec) -> dict[str, Any]:
     """The "settings" object. Times are microseconds, rates per second."""
     tier = scenario.tiers[proxy.tier]
     return {
@@ -28,8 +28,8 @@
         "zones": [ROOM],
         "stages": [tier.name for tier in scenario.tiers],
         "tier": proxy.tier,
-        "me": proxy.me,
-        "siblings": proxy.siblings,
+        "me": proxy.index,
+        "siblings": proxy.sibling_count,
         "my_zone": 0,
         "tick_us": scenario.proxy.tick,
         "discovery": "on_request",
@@ -37,7 +37,7 @@
     }
 
 
-def config(
+def build_config(
     scenario: Scenario,
     proxy: ProxySpec,
     listen: str,
@@ -54,11 +54,11 @@
         "seed": seed,
         "limits": {"cores": 1.0, "memory_mb": scenario.proxy.memory_mb, "sockets": scenario.proxy.sockets},
         "known": {"revision": 0, "complete": True, "members": members},
-        "settings": settings(scenario, proxy),
+        "settings": build_settings(scenario, proxy),
     }
 
 
-def member(spec: NodeSpec, host_port: str, phase: str, up_since_ms: int) -> dict[str, Any]:
+def member_entry(spec: NodeSpec, host_port: str, phase: str, up_since_ms: int) -> dict[str, Any]:
     """One node as discovery tells of it. `phase` is SERVING, DRAINING or DELETED; `up_since_ms` Unix time, 0:
     long ago."""
     return {
--- a/slatelab/plant/workload.py
+++ b/slatelab/plant/workload.py
@@ -19,7 +19,7 @@
 from slatelab.scenario import Arrivals, Scenario, ScenarioError
 from slatelab.scenario.types import Work
 
-from .draw import Draw
+from .random_streams import RandomStreams
 
 MOST = 1_000_000  # orders a day
 LONGEST_WORK = 24 * 3600 * 1_000_000
@@ -31,7 +31,7 @@
 @dataclass(frozen=True, slots=True)
 class Order:
     """What one client wants, over all its tries. `work_us` is the whole of it at speed 1, of which each tier
-    does its part; `patience_us` is how long one try is waited for; `honours`: comes back when Retry-After
+    does its part; `patience_us` is how long one try is waited for; `honours_retry_after`: comes back when Retry-After
     says."""
 
     number: int
@@ -40,7 +40,7 @@
     tenant: int
     work_us: int
     patience_us: int
-    honours: bool
+    honours_retry_after: bool
     seed: int
 
 
@@ -53,7 +53,7 @@
     tenant: int | None = None
 
 
-def orders(scenario: Scenario, draw: Draw, folder: Path) -> list[Order]:
+def generate_orders(scenario: Scenario, draw: RandomStreams, folder: Path) -> list[Order]:
     """All orders of the day by time, numbered from 0. `folder` is where trace files are looked for. Raises
     ScenarioError for a trace file that cannot be used, and where there are more than MOST orders."""
     streams = [_of_stream(scenario, draw, folder, i) for i in range(len(scenario.arrivals))]
@@ -66,11 +66,11 @@
 _Fields = tuple[int, int, int, int, int, bool, int]  # of an Order, without its number
 
 
-def _of_stream(scenario: Scenario, draw: Draw, folder: Path, i: int) -> Iterator[_Fields]:
+def _of_stream(scenario: Scenario, draw: RandomStreams, folder: Path, i: int) -> Iterator[_Fields]:
     stream = scenario.arrivals[i]
     cls_of = _picker([(cls.name, cls.share) for cls in scenario.classes], stream.classes)
     tenant_of = _picker([(tenant.name, tenant.share) for tenant in scenario.tenants], stream.tenants)
-    for k, arrival in enumerate(arrivals(scenario, draw, folder, i)):
+    for k, arrival in enumerate(generate_arrivals(scenario, draw, folder, i)):
         rng = draw.stream("order", i, k)
         drawn_cls, drawn_tenant = (
             cls_of(rng),
@@ -82,7 +82,7 @@
             arrival.at,
             cls,
             tenant,
-            work(scenario.classes[cls].work, rng),
+            sample_work(scenario.classes[cls].work, rng),
             _patience(scenario, cls, rng),
             rng.random() < scenario.clients.honour,
             rng.getrandbits(52),
@@ -111,7 +111,7 @@
     return stream.start, min(stream.end or scenario.scenario.duration, scenario.scenario.duration)
 
 
-def arrivals(scenario: Scenario, draw: Draw, folder: Path, i: int) -> Iterator[Arrival]:
+def generate_arrivals(scenario: Scenario, draw: RandomStreams, folder: Path, i: int) -> Iterator[Arrival]:
     """The moments of the i-th stream in order, all within its window. Raises ScenarioError (trace)."""
     stream = scenario.arrivals[i]
     start, end = window(scenario, stream)
@@ -207,7 +207,7 @@
 # ---------------------------------------------------------------- how much work it is
 
 
-def work(what: Work, rng: random.Random) -> int:
+def sample_work(what: Work, rng: random.Random) -> int:
     """One draw in whole microseconds at speed 1, 1 at least, with the mean and the cv asked for (exponential:
     cv 1, fixed: 0). Lognormal: sigma^2 = ln(1 + cv^2), mu = ln(mean) - sigma^2 / 2 (Johnson, Kotz and
     Balakrishnan, Continuous Univariate Distributions 1, ch. 14). Pareto: cv^2 = 1 / (a (a - 2)), so the shape
@@ -230,7 +230,9 @@
     call, "2.0" the first call of that. Calls of an order differ by up to work.noise up and down; one call is
     as long each time it is sent."""
     noise = scenario.classes[cls].work.noise
-    factor = 1 + noise * Draw(order_seed).stream("noise", tier, path).uniform(-1, 1) if noise else 1.0
+    factor = (
+        1 + noise * RandomStreams(order_seed).stream("noise", tier, path).uniform(-1, 1) if noise else 1.0
+    )
     return max(1, round(order_work_us * scenario.tiers[tier].work * factor))
 
 
@@ -238,4 +240,4 @@
     """How many calls to the next tier this one makes: tier.calls on average, rounded down or up at random."""
     least = math.floor(scenario.tiers[tier].calls)
     rest = scenario.tiers[tier].calls - least
-    return least + (rest > 0 and Draw(order_seed).stream("calls", tier, path).random() < rest)
+    return least + (rest > 0 and RandomStreams(order_seed).stream("calls", tier, path).random() < rest)
--- a/slatelab/records.py
+++ b/slatelab/records.py
@@ -188,7 +188,7 @@
 _decoder: msgspec.json.Decoder[Record] = msgspec.json.Decoder(Record)
 
 
-def order_of(request: str) -> str:
+def order_id(request: str) -> str:
     """The order that a request, or a call for it, belongs to."""
     return request.partition(".")[0]
 
--- a/slatelab/report/page.py
+++ b/slatelab/report/page.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from slatelab.figures import Figures
 
-EVENTS = 300  # lines of the timeline
+MAX_EVENTS = 300  # lines of the timeline
 LONGEST_SET = 40  # letters of the changes in a title
 TARGETS = 12  # named in one of them
 NAMES = ("A", "B")
@@ -48,14 +48,14 @@
     fault: bool
 
 
-def write(loaded: Sequence[tuple[Path, Result]], where: Path) -> Path:
+def write_report(loaded: Sequence[tuple[Path, Result]], where: Path) -> Path:
     """Writes index.html and the PNG files into a folder, and returns the page's path. One result or two.
-    Raises results.Unreadable and results.Unwritable."""
+    Raises results.ResultReadError and results.ResultWriteError."""
     sides = _sides(loaded)
-    with results.writing(where):
+    with results.convert_write_errors(where):
         where.mkdir(parents=True, exist_ok=True)
     pictures = _pictures(sides)
-    with results.writing(where):
+    with results.convert_write_errors(where):
         for name, (_, data) in pictures.items():
             (where / f"{name}.png").write_bytes(data)
         (where / "index.html").write_text(html(sides, pictures), encoding="utf-8")
@@ -70,7 +70,7 @@
     for i, (folder, one) in enumerate(loaded):
         name = NAMES[i] if len(loaded) > 1 else ""
         title = ", ".join([name, *(mark for mark, yes in zip(marks[i], differ, strict=True) if yes and mark)])
-        figures = views.figures(one, folder)
+        figures = views.load_figures(one, folder)
         sides.append(Side(name, title, one, figures, summarise(one, figures)))
     return sides
 
@@ -81,11 +81,11 @@
 
 
 def _pictures(sides: Sequence[Side]) -> dict[str, tuple[str, bytes]]:
-    from .plots import PICTURES
+    from .plots import PLOTS
 
-    shown = [views.view(side.result, side.figures) for side in sides]
+    shown = [views.build_view(side.result, side.figures) for side in sides]
     titles = [side.title for side in sides]
-    return {name: (title, draw(shown, titles)) for name, (title, draw) in PICTURES.items()}
+    return {name: (title, draw(shown, titles)) for name, (title, draw) in PLOTS.items()}
 
 
 def html(sides: Sequence[Side], pictures: dict[str, tuple[str, bytes]]) -> str:
@@ -123,18 +123,18 @@
 
 def _row(sides: Sequence[Side], key: str, title: str, figure: Any) -> tuple[str, list[str], str, str]:
     values = [side.summary.scalar(key) for side in sides]
-    shown = [figure.shown(value) for value in values]
+    shown = [figure.format(value) for value in values]
     if len(values) < 2 or values[0] is None or values[1] is None:
         return title, shown, "", ""
     by = values[1] - values[0]
     sense = (
         ""
-        if figure.shown(abs(by)) == figure.shown(0.0)
+        if figure.format(abs(by)) == figure.format(0.0)
         else "better"
         if (by > 0) == figure.higher_is_better
         else "worse"
     )
-    return title, shown, figure.shown(by, True), sense
+    return title, shown, figure.format(by, True), sense
 
 
 def _more(sides: Sequence[Side]) -> list[tuple[str, list[str], str, str]]:
@@ -177,14 +177,14 @@
 
 
 def timeline(result: Result) -> tuple[list[Event], int]:
-    """Faults and the proxies' log lines in order of time, at most EVENTS, the faults before the lines where
+    """Faults and the proxies' log lines in order of time, at most MAX_EVENTS, the faults before the lines where
     not all have room; and how many there were in all."""
     faults = [event for trouble in result.troubles for event in _edges(trouble)]
     lines = [
         Event(one.t / 1e6, one.proxy, f"{one.level} {one.topic}".strip(), one.text, False)
         for one in result.log
     ]
-    shown = [*faults, *lines][:EVENTS]
+    shown = [*faults, *lines][:MAX_EVENTS]
     return sorted(shown, key=lambda event: event.t), len(faults) + result.log_lines
 
 
--- a/slatelab/report/plots.py
+++ b/slatelab/report/plots.py
@@ -383,7 +383,7 @@
     return float(min([1.0, *heights])) / 2
 
 
-PICTURES: dict[str, tuple[str, Callable[[Sequence[View], Sequence[str]], bytes]]] = {
+PLOTS: dict[str, tuple[str, Callable[[Sequence[View], Sequence[str]], bytes]]] = {
     "day": ("Orders and goodput over time, with the faults", day),
     "latency": ("Latency by percentile", latency),
     "work": ("Work sent to each node over time", work),
--- a/slatelab/report/live.py
+++ b/slatelab/report/progress.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, TextIO
 
-from slatelab.engine import Tick, Watch
+from slatelab.engine import ProgressCallback, ProgressSnapshot
 
 if TYPE_CHECKING:
     from rich.table import Table
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Now:
+class WindowStats:
     """What the last seconds were like: rate in orders a second, latencies in ms, None where nothing was
     served."""
 
@@ -35,32 +35,32 @@
     p99: float | None
 
 
-class Window:
+class SlidingWindow:
     """The ticks of the last WINDOW_US of the run's time, and at most SAMPLES latencies."""
 
     def __init__(self) -> None:
         self._ticks: deque[tuple[int, int]] = deque()  # t, orders so far
         self._latencies: deque[tuple[int, int]] = deque(maxlen=SAMPLES)
 
-    def add(self, tick: Tick) -> None:
+    def add(self, tick: ProgressSnapshot) -> None:
         self._ticks.append((tick.t, tick.asked))
         self._latencies.extend((tick.t, us) for us in tick.latencies_us)
         for queue in (self._ticks, self._latencies):
             while len(queue) > 1 and queue[0][0] < tick.t - WINDOW_US:
                 queue.popleft()
 
-    def now(self) -> Now:
+    def stats(self) -> WindowStats:
         (first, before), (last, asked) = self._ticks[0], self._ticks[-1]
         served = sorted(us for _, us in self._latencies)
         rate = (asked - before) * 1e6 / (last - first) if last > first else 0.0
-        return Now(rate, _rank(served, 0.5), _rank(served, 0.99))
+        return WindowStats(rate, _rank(served, 0.5), _rank(served, 0.99))
 
 
 def _rank(served: list[int], share: float) -> float | None:
     return served[min(int(share * len(served)), len(served) - 1)] / 1000 if served else None
 
 
-def line(tick: Tick, now: Now) -> str:
+def line(tick: ProgressSnapshot, now: WindowStats) -> str:
     """The stand-in: one plain line."""
     away = sum(state != "warm" for _, state, _ in tick.nodes)
     return (
@@ -70,13 +70,13 @@
     )
 
 
-def table(tick: Tick, now: Now, title: str) -> Table:
+def table(tick: ProgressSnapshot, now: WindowStats, title: str) -> Table:
     """The whole picture for a terminal."""
     from rich.table import Table
 
-    done = min(tick.t / tick.until, 1.0) if tick.until else 1.0
+    done = min(tick.t / tick.last_arrival_at, 1.0) if tick.last_arrival_at else 1.0
     whole = Table.grid(padding=(0, 1))
-    whole.title = f"{title}   {tick.t / 1e6:.1f} of {tick.until / 1e6:.0f} s ({done:.0%})"
+    whole.title = f"{title}   {tick.t / 1e6:.1f} of {tick.last_arrival_at / 1e6:.0f} s ({done:.0%})"
     whole.title_justify = "left"
     whole.add_row(_figures(tick, now))
     if tick.nodes:
@@ -84,7 +84,7 @@
     return whole
 
 
-def _figures(tick: Tick, now: Now) -> Table:
+def _figures(tick: ProgressSnapshot, now: WindowStats) -> Table:
     from rich.table import Table
 
     figures = Table(show_edge=False, pad_edge=False)
@@ -103,7 +103,7 @@
     return figures
 
 
-def _nodes(tick: Tick) -> Table:
+def _nodes(tick: ProgressSnapshot) -> Table:
     """Those not as usual first, then the fullest; the rest is counted."""
     from rich.markup import escape
     from rich.table import Table
@@ -128,42 +128,51 @@
 
 
 @contextmanager
-def shown(title: str, brief: bool = False, out: TextIO | None = None) -> Iterator[Watch]:
+def progress_display(
+    title: str, brief: bool = False, out: TextIO | None = None
+) -> Iterator[ProgressCallback]:
     """A watch for an engine. Where `out` (standard error if not given) is a terminal it shows the table, or
     with `brief` one line, in place; else a plain line a second."""
     out = out or sys.stderr
     if not out.isatty():
-        yield _Paced(LINE_S, time.monotonic, lambda tick, now: print(line(tick, now), file=out, flush=True))
+        yield _RateLimitedOutput(
+            LINE_S, time.monotonic, lambda tick, now: print(line(tick, now), file=out, flush=True)
+        )
         return
     from rich.console import Console
     from rich.live import Live
 
-    def draw(tick: Tick, now: Now) -> None:
+    def draw(tick: ProgressSnapshot, now: WindowStats) -> None:
         live.update(line(tick, now) if brief else table(tick, now, title), refresh=True)
 
     with Live(console=Console(file=out), auto_refresh=False, transient=brief) as live:
-        paced = _Paced(DRAW_S, time.monotonic, draw)
+        paced = _RateLimitedOutput(DRAW_S, time.monotonic, draw)
         yield paced
         paced.last()
 
 
-class _Paced:
+class _RateLimitedOutput:
     """Takes each tick into the window, draws no oftener than `every_s` of real time, the first one at
     once."""
 
-    def __init__(self, every_s: float, clock: Callable[[], float], draw: Callable[[Tick, Now], None]) -> None:
-        self._window, self._every_s, self._clock, self._draw = Window(), every_s, clock, draw
+    def __init__(
+        self,
+        every_s: float,
+        clock: Callable[[], float],
+        draw: Callable[[ProgressSnapshot, WindowStats], None],
+    ) -> None:
+        self._window, self._every_s, self._clock, self._draw = SlidingWindow(), every_s, clock, draw
         self._due = 0.0
-        self._tick: Tick | None = None
+        self._tick: ProgressSnapshot | None = None
 
-    def __call__(self, tick: Tick) -> None:
+    def __call__(self, tick: ProgressSnapshot) -> None:
         self._window.add(tick)
         self._tick = tick
         if (at := self._clock()) >= self._due:
             self._due = at + self._every_s
-            self._draw(tick, self._window.now())
+            self._draw(tick, self._window.stats())
 
     def last(self) -> None:
         """The end of the run, which may have come between two looks."""
         if self._tick:
-            self._draw(self._tick, self._window.now())
+            self._draw(self._tick, self._window.stats())
--- a/slatelab/report/view.py
+++ b/slatelab/report/view.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from slatelab.results import Result, Unreadable
+from slatelab.results import Result, ResultReadError
 
 if TYPE_CHECKING:
     from slatelab.figures import Figures, Latency, NodeLoad
@@ -56,8 +56,8 @@
     spells: list[Spell] = field(default_factory=list)
 
 
-def figures(result: Result, folder: Path) -> Figures:
-    """The figures of a result as they were measured. Raises Unreadable where they are of another version."""
+def load_figures(result: Result, folder: Path) -> Figures:
+    """The figures of a result as they were measured. Raises ResultReadError where they are of another version."""
     import msgspec
 
     from slatelab.figures import Figures
@@ -65,10 +65,10 @@
     try:
         return msgspec.convert(result.figures, Figures)
     except msgspec.ValidationError as problem:
-        raise Unreadable(f"{folder}: result.json: figures: {problem}") from None
+        raise ResultReadError(f"{folder}: result.json: figures: {problem}") from None
 
 
-def view(result: Result, figures: Figures) -> View:
+def build_view(result: Result, figures: Figures) -> View:
     """`figures` are those of the result."""
     series = figures.series
     end = max(float(len(series.offered)), result.duration / 1e6)
--- a/slatelab/results.py
+++ b/slatelab/results.py
@@ -25,11 +25,11 @@
 HIDDEN = ".partial-"
 
 
-class Unwritable(Exception):
+class ResultWriteError(Exception):
     """The place for results is full, read-only or no folder. One line."""
 
 
-class Unreadable(Exception):
+class ResultReadError(Exception):
     """This is no whole result of a format known here. One line."""
 
 
@@ -113,7 +113,7 @@
     notes: list[str]
 
 
-def root(given: str | None = None) -> Path:
+def results_directory(given: str | None = None) -> Path:
     """Where results go: `given`, else $SLATELAB_RESULTS, else results/ below the current folder."""
     return Path(given or os.environ.get("SLATELAB_RESULTS") or "results")
 
@@ -125,15 +125,15 @@
 # ---------------------------------------------------------------- writing
 
 
-class Draft:
+class ResultFolderWriter:
     """A folder under its hidden name. Files in it are on the disk once `add` has returned."""
 
     def __init__(self, place: Path) -> None:
-        self.place = place
-        self.final = place  # set once it has been renamed
+        self.temporary_path = place
+        self.final_path = place  # set once it has been renamed
 
     def add(self, name: str, data: bytes) -> None:
-        with (self.place / name).open("wb") as file:
+        with (self.temporary_path / name).open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
@@ -141,7 +141,7 @@
     def add_records(self, records: Iterable[Record], limit: int = RECORDS_LIMIT) -> str:
         """Writes records.jsonl.gz. More than `limit` bytes are not kept: then a line that says so is
         returned."""
-        path = self.place / "records.jsonl.gz"
+        path = self.temporary_path / "records.jsonl.gz"
         with path.open("wb") as file:
             if _pack(file, records, limit):
                 file.flush()
@@ -164,28 +164,28 @@
 
 
 @contextmanager
-def draft(where: Path, name: str) -> Iterator[Draft]:
-    """A new folder `name` below `where`, there only once the block has ended well. Raises Unwritable on entry
+def new_result_folder(where: Path, name: str) -> Iterator[ResultFolderWriter]:
+    """A new folder `name` below `where`, there only once the block has ended well. Raises ResultWriteError on entry
     where the place cannot be written to, and on the way out where the disk is full; whatever was raised,
     nothing stays behind."""
     with _plainly(where):
         where.mkdir(parents=True, exist_ok=True)
         place = where / f"{HIDDEN}{name}-{os.getpid()}-{time.monotonic_ns()}"
         place.mkdir()
-    one = Draft(place)
+    one = ResultFolderWriter(place)
     try:
         yield one
         with _plainly(where):
             _flush(place)
-            one.final = _rename(place, where / name)
+            one.final_path = _rename(place, where / name)
             _flush(where)
     finally:
         shutil.rmtree(place, ignore_errors=True)
 
 
 @contextmanager
-def writing(where: Path) -> Iterator[None]:
-    """What fails with an OSError in the block is said as Unwritable."""
+def convert_write_errors(where: Path) -> Iterator[None]:
+    """What fails with an OSError in the block is said as ResultWriteError."""
     with _plainly(where):
         yield
 
@@ -195,7 +195,9 @@
     try:
         yield
     except OSError as problem:
-        raise Unwritable(f"results cannot be written to {where}: {problem.strerror or problem}") from None
+        raise ResultWriteError(
+            f"results cannot be written to {where}: {problem.strerror or problem}"
+        ) from None
 
 
 def _flush(folder: Path) -> None:
@@ -220,7 +222,7 @@
     raise OSError(f"too many results are named {final.name}")
 
 
-def stamp() -> str:
+def utc_timestamp() -> str:
     """Now, UTC, in a form that sorts and stands in a file name."""
     return time.strftime("%Y%m%dT%H%M%SZ", time.gmtime())
 
@@ -229,9 +231,9 @@
     return f"{made}-{scenario}-{engine}-s{seed}"
 
 
-def save(one: Draft, result: Result, records: Iterable[Record]) -> Result:
-    """Fills a draft: the records, then result.json. Returns the result as written. Raises Unwritable."""
-    with writing(one.place.parent):
+def save(one: ResultFolderWriter, result: Result, records: Iterable[Record]) -> Result:
+    """Fills a draft: the records, then result.json. Returns the result as written. Raises ResultWriteError."""
+    with convert_write_errors(one.temporary_path.parent):
         note = one.add_records(records)
         if note:
             result = msgspec.structs.replace(result, notes=[*result.notes, note])
@@ -244,32 +246,32 @@
 
 
 def load(folder: Path) -> Result:
-    """Raises Unreadable."""
+    """Raises ResultReadError."""
     data = _bytes(folder / "result.json")
     try:
         written = msgspec.json.decode(data, type=dict[str, Any]).get("format")
         if written != FORMAT:
-            raise Unreadable(f"{folder}: is of format {written}, this version reads {FORMAT}")
+            raise ResultReadError(f"{folder}: is of format {written}, this version reads {FORMAT}")
         return msgspec.json.decode(data, type=Result)
     except msgspec.MsgspecError as problem:
-        raise Unreadable(f"{folder}: result.json: {problem}") from None
+        raise ResultReadError(f"{folder}: result.json: {problem}") from None
 
 
 def _bytes(path: Path) -> bytes:
     if path.parent.name.startswith(HIDDEN):
-        raise Unreadable(f"{path.parent}: not whole: a run that did not end; it may be deleted")
+        raise ResultReadError(f"{path.parent}: not whole: a run that did not end; it may be deleted")
     try:
         with path.open("rb") as file:
             data = file.read(JSON_LIMIT + 1)
     except OSError as problem:
-        raise Unreadable(f"{path.parent}: not a result: {path.name}: {problem.strerror}") from None
+        raise ResultReadError(f"{path.parent}: not a result: {path.name}: {problem.strerror}") from None
     if len(data) > JSON_LIMIT:
-        raise Unreadable(f"{path}: larger than {JSON_LIMIT} bytes")
+        raise ResultReadError(f"{path}: larger than {JSON_LIMIT} bytes")
     return data
 
 
 def records(folder: Path) -> Iterator[Record]:
-    """The records of a result, nothing where they were not kept. Raises Unreadable on the way where they are
+    """The records of a result, nothing where they were not kept. Raises ResultReadError on the way where they are
     damaged."""
     path = folder / "records.jsonl.gz"
     if not path.exists():
@@ -280,10 +282,10 @@
             for line in file:
                 yield decoder.decode(line)
     except (OSError, EOFError, msgspec.MsgspecError) as problem:
-        raise Unreadable(f"{path}: {problem}") from None
+        raise ResultReadError(f"{path}: {problem}") from None
 
 
-def every(where: Path) -> tuple[list[tuple[Path, Result]], list[str]]:
+def load_all(where: Path) -> tuple[list[tuple[Path, Result]], list[str]]:
     """The whole results below a folder by name, and a line for each other folder that looked like one."""
     good: list[tuple[Path, Result]] = []
     skipped: list[str] = []
@@ -292,7 +294,7 @@
             continue
         try:
             good.append((folder, load(folder)))
-        except Unreadable as problem:
+        except ResultReadError as problem:
             skipped.append(f"skipped: {problem}")
     return good, skipped
 
--- a/slatelab/scenario/types.py
+++ b/slatelab/scenario/types.py
@@ -254,7 +254,7 @@
     connections: Positive = 512  # the most that are open at once
 
 
-FAULTS = (
+FAULT_KINDS = (
     "kill", "restart", "freeze", "reset", "black-hole", "slow", "errors", "heavy-tail", "drain", "replace",
     "discovery-down", "discovery-lies", "strip-headers", "proxy-kill", "proxy-stop", "proxy-freeze",
     "proxy-reload", "peer-cut", "peer-mute", "peer-lossy",
@@ -282,7 +282,7 @@
     peer-lossy: a share `part` of the datagrams between proxies of the tier is lost."""
 
     name: Name = "fault"
-    kind: Literal[FAULTS]  # type: ignore[valid-type]
+    kind: Literal[FAULT_KINDS]  # type: ignore[valid-type]
     at: Time = 0
     after: str = ""
     span: Time = Field(default=0, alias="for")
--- a/tests/audit.py
+++ b/tests/audit.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from paddlestep.interface import Status
-from slatehub.core.desk import SalesDesk
+from slatehub.core.dispatcher import Dispatcher
 from slatehub.core.jobs import Attempt
 from slatelab.judge import judge
 from slatelab.records import (
@@ -84,14 +84,14 @@
         """An attempt of a desk has ended; what it proves of the node is what the table of outcomes says."""
         if status in NEVER_CAME:
             return
-        node, request = str(attempt.endpoint), attempt.job.name
-        self.came(attempt.sent, node, request)
+        node, request = str(attempt.endpoint), attempt.job.request_id
+        self.came(attempt.sent_at, node, request)
         if status in SAID:
             self.replied(
                 t, node, request, SAID[status], status is Status.FULL, token if status is Status.OK else ""
             )
         else:
-            self.facts.append(Began(attempt.sent, node, 0, request))  # it may have run: taken as if it had
+            self.facts.append(Began(attempt.sent_at, node, 0, request))  # it may have run: taken as if it had
 
     def told(self, t: int, node: str, phase: str) -> None:
         self.facts.append(Told(t, "p", node, phase))
@@ -110,16 +110,20 @@
 
     def check(self) -> None:
         ruling = judge(self.scenario, self.facts)
-        assert ruling.clean, "\n".join(f"{ruling.counts}\n{v.explain()}" for v in ruling.violations[:3])
+        assert ruling.passed, "\n".join(f"{ruling.counts}\n{v.explain()}" for v in ruling.violations[:3])
 
 
-def at_rest(desk: SalesDesk) -> None:
+def at_rest(desk: Dispatcher) -> None:
     """Nothing is in hand: no count of it may be left anywhere, and the sums are those of the servers that are there."""
     module = desk.balancer
-    assert not desk.ledger.jobs and not desk.ledger.names and desk.ledger.first_end() is None, "jobs are kept"
+    assert (
+        not desk.job_table.jobs
+        and not desk.job_table.by_request_id
+        and desk.job_table.next_deadline() is None
+    ), "jobs are kept"
     assert not module.requests and not module.waiting and not module.inflight, "the module counts requests"
     assert all(s.flights == 0 for s in module.servers.values()), "flights are counted at a server"
-    assert len(desk.timers) == len(desk.tokens) <= 4, "timers pile up"
+    assert len(desk.timers) == len(desk.timer_tokens) <= 4, "timers pile up"
     assert all(module.limit(s) >= 1 for s in module.ready), "a server may have no call"
     open_now = [s for s in module.ready if max(s.ejected, s.paused) <= module.now]
     for s in module.servers.values():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 
 @pytest.fixture(scope="session", autouse=True)
-def own_folder(tmp_path_factory: pytest.TempPathFactory) -> Iterator[None]:
+def private_tmpdir(tmp_path_factory: pytest.TempPathFactory) -> Iterator[None]:
     """Guards against programs of another run beside this one, which bear the same names: one that has an operators'
     address looks in $TMPDIR for a process to take over from."""
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/copies_days.py
+++ b/tests/copies_days.py
@@ -19,19 +19,19 @@
 from random import Random
 from typing import Any
 
-from fleet_rig import Fleet, fleet
-from plant import until
+from fleet_rig import FleetRig, running_fleet
+from proxy_rig import wait_until
 from test_copies import Orders, executions, whole
 
 KINDS = ("kill", "lose", "freeze", "cut", "mute", "lossy", "halt")
 
 
-def befall(rig: Fleet, rng: Random, kind: str) -> None:
+def befall(rig: FleetRig, rng: Random, kind: str) -> None:
     """One fault, its span and its end."""
     name, span = rng.choice(rig.names), rng.choice((0.1, 0.5, 1.5))
     others = [one for one in rig.names if one != name]
     if kind in ("kill", "lose"):
-        (rig.kill if kind == "kill" else rig.lose)(name)
+        (rig.kill if kind == "kill" else rig.kill_and_wipe)(name)
         time.sleep(span)
         rig.start(name)
     elif kind == "halt":
@@ -45,14 +45,19 @@
         time.sleep(span * 2)
         os.kill(process.pid, signal.SIGCONT)
     elif kind == "lossy":
-        weather: dict[str, Any] = {"lost": 0.3, "twice": 0.2, "late": 0.2, "late_by": 200_000}
-        rig.set(lambda net: [setattr(net.weather, key, value) for key, value in weather.items()])
+        weather: dict[str, Any] = {
+            "loss": 0.3,
+            "duplication": 0.2,
+            "reordering": 0.2,
+            "reordering_delay": 200_000,
+        }
+        rig.set_faults(lambda net: [setattr(net.faults, key, value) for key, value in weather.items()])
         time.sleep(span)
-        rig.set(lambda net: [setattr(net.weather, key, 0) for key in weather])
+        rig.set_faults(lambda net: [setattr(net.faults, key, 0) for key in weather])
     else:
-        rig.set(lambda net: net.sever("cut", [name], others, both=kind == "cut"))
+        rig.set_faults(lambda net: net.partition("cut", [name], others, both=kind == "cut"))
         time.sleep(span)
-        rig.set(lambda net: net.mend("cut"))
+        rig.set_faults(lambda net: net.heal("cut"))
 
 
 @contextmanager
@@ -66,10 +71,10 @@
 
 def day(seed: int) -> tuple[int, list[str], Counter[str]]:
     rng, found, counts = Random(seed), list[str](), Counter[str]()
-    with own_folder() as folder, fleet(folder, 3, voters=3) as rig:
+    with own_folder() as folder, running_fleet(folder, 3, voters=3) as rig:
         whole(rig)
         orders = Orders(rig)
-        until(lambda: orders.statuses()[200] > 20)
+        wait_until(lambda: orders.statuses()[200] > 20)
         for kind in rng.choices(KINDS, k=4):
             counts[kind] += 1
             befall(rig, rng, kind)
@@ -77,8 +82,8 @@
                 whole(rig)  # never a second one lost before the first is replaced
         whole(rig)
         served = orders.statuses()[200]
-        until(lambda: orders.statuses()[200] > served + 20)
-        orders.end()
+        wait_until(lambda: orders.statuses()[200] > served + 20)
+        orders.stop()
         ran = executions(rig)
         found += [f"{key} ran {count} times" for key, count in ran.items() if count > 1]
         for key, tries in orders.told.items():
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -14,42 +14,53 @@
 from typing import Any
 
 from audit import Audit
-from plant import LOOK, Discovery, Node, Program, answer, judged, member, order, settings, until
-
-from slatehub.settings import keys
-from slatelab.peers.net import PeerNet
+from proxy_rig import (
+    SAFE_CLASS,
+    ProxyProcess,
+    ScriptedDiscovery,
+    ScriptedNode,
+    build_request,
+    check_run,
+    node_entry,
+    read_response,
+    settings,
+    wait_until,
+)
+
+from slatehub.settings import key_file
+from slatelab.peers.network import PeerNetwork
 from slatelab.peers.relay import Relay
 
 
-class Fleet:
+class FleetRig:
     def __init__(
-        self, tmp: Path, count: int, nodes: int = 2, kind: type[Node] = Node, voters: int = 0, keep: str = "",
-        more: str = "",
+        self, tmp: Path, count: int, nodes: int = 2, kind: type[ScriptedNode] = ScriptedNode, voters: int = 0,
+        keep: str = "", more: str = "",
     ) -> None:  # fmt: skip
-        self.voters, self.keep, self.more = voters, keep, more
+        self.voters, self.ledger_config, self.more = voters, keep, more
         self.tmp, self.names = tmp, [f"p{i}" for i in range(count)]
-        self.net = PeerNet(Random(1))
+        self.net = PeerNetwork(Random(1))
         self.relay = Relay(self.net, self.names)
         self.nodes: list[Any] = [kind() for _ in range(nodes)]
-        self.audit = Audit((LOOK,), ("order-place",), slack="10 s")
+        self.audit = Audit((SAFE_CLASS,), ("order-place",), slack="10 s")
         for node in self.nodes:
             node.audit = self.audit
-        self.programs: dict[str, Program] = {}
-        self.all: list[Program] = []
-        self.discoveries: list[Discovery] = []
+        self.programs: dict[str, ProxyProcess] = {}
+        self.all: list[ProxyProcess] = []
+        self.discoveries: list[ScriptedDiscovery] = []
         self.callers: list[Any] = []  # whoever asks without end; ended with the rig
         self.key = tmp / "fleet.key"
-        keys.add(str(self.key), True)
+        key_file.add(str(self.key), True)
 
-    def operator(self, name: str) -> str:
-        seeds = [f"{host}:{port}" for host, port in map(self.relay.advertised, self.names[:2])]
-        listen, told = self.relay.listens[name], self.relay.advertised(name)
+    def operator_config(self, name: str) -> str:
+        seeds = [f"{host}:{port}" for host, port in map(self.relay.advertised_address, self.names[:2])]
+        listen, told = self.relay.listen_addresses[name], self.relay.advertised_address(name)
         folder = self.folder(name)
         group = ""
         if self.voters:
             folder.mkdir(exist_ok=True)
             group = f'[copies]\nfolder = "{folder}"\nvoters = {self.names[: self.voters]}\n'
-            group += f'[ledger]\nclasses = ["order-place"]\n{self.keep}\n'
+            group += f'[ledger]\nclasses = ["order-place"]\n{self.ledger_config}\n'
         return group + (
             f'[fleet]\nlisten = "{listen[0]}:{listen[1]}"\nadvertise = "{told[0]}:{told[1]}"\nseeds = {seeds}\n'
             f'name = "test"\nkey_file = "{self.key}"\n{self.more}\n[log]\nburst = 1000.0\nper_topic_per_s = 1000.0\n'
@@ -59,69 +70,69 @@
         """Where this one keeps its copies."""
         return self.tmp / f"store-{name}"
 
-    def lose(self, name: str) -> None:
+    def kill_and_wipe(self, name: str) -> None:
         """The machine with its disk."""
         self.kill(name)
         shutil.rmtree(self.folder(name))
 
-    def start(self, name: str, popen: dict[str, Any] | None = None) -> Program:
+    def start(self, name: str, popen: dict[str, Any] | None = None) -> ProxyProcess:
         folder = self.tmp / f"{name}-{len(self.all)}"
         folder.mkdir()
-        members = [member(f"s-{i}", node.address) for i, node in enumerate(self.nodes)]
-        discovery = Discovery(members)
+        members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(self.nodes)]
+        discovery = ScriptedDiscovery(members)
         self.discoveries.append(discovery)
         told = {**settings(), "siblings": len(self.names), "me": self.names.index(name)}
-        program = Program(
-            folder, members, discovery.address, own=self.operator(name), name=name, mgmt="127.0.0.1:0", popen=popen,
-            settings=told,
+        program = ProxyProcess(
+            folder, members, discovery.address, own=self.operator_config(name), name=name, mgmt="127.0.0.1:0",
+            popen=popen, settings=told,
         )  # fmt: skip
         self.programs[name] = program
         self.all.append(program)
         return program
 
-    def status(self, name: str) -> dict[str, Any]:
-        return self.ask(name, "/fleet")
+    def fleet_status(self, name: str) -> dict[str, Any]:
+        return self.management_get(name, "/fleet")
 
-    def ask(self, name: str, path: str) -> dict[str, Any]:
+    def management_get(self, name: str, path: str) -> dict[str, Any]:
         import socket
 
-        with socket.create_connection(self.programs[name].mgmt, 30) as conn:
+        with socket.create_connection(self.programs[name].management_address, 30) as conn:
             conn.sendall(f"GET {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
-            found: dict[str, Any] = json.loads(answer(conn)[2])
+            found: dict[str, Any] = json.loads(read_response(conn)[2])
             return found
 
-    def alive(self, name: str) -> set[str]:
+    def alive_members(self, name: str) -> set[str]:
         """Whom this one holds for alive, itself included."""
-        return {row["name"] for row in self.status(name)["members"] if row["state"] == "alive"}
+        return {row["name"] for row in self.fleet_status(name)["members"] if row["state"] == "alive"}
 
     def kill(self, name: str) -> None:
         program = self.programs.pop(name)
-        program.ending = True
+        program.stopping = True
         program.process.kill()
         program.process.wait()
 
-    def set(self, act: Any) -> None:
+    def set_faults(self, act: Any) -> None:
         with self.relay.lock:
             act(self.net)
 
 
 @contextmanager
-def fleet(
-    tmp: Path, count: int, nodes: int = 2, faults: bool = False, kind: type[Node] = Node, voters: int = 0,
-    keep: str = "", more: str = "",
-) -> Iterator[Fleet]:  # fmt: skip
-    rig = Fleet(tmp, count, nodes, kind, voters, keep, more)
+def running_fleet(
+    tmp: Path, count: int, nodes: int = 2, faults: bool = False, kind: type[ScriptedNode] = ScriptedNode,
+    voters: int = 0, keep: str = "", more: str = "",
+) -> Iterator[FleetRig]:  # fmt: skip
+    rig = FleetRig(tmp, count, nodes, kind, voters, keep, more)
     try:
         for name in rig.names:
             rig.start(name)
         yield rig
     finally:
         for program in rig.all:
-            program.ending = True
+            program.stopping = True
         for node in rig.nodes:
-            node.go.set()
+            node.release.set()
         for callers in rig.callers:
-            callers.end()  # also after a test that failed: they would ask for ever, and the run never end
+            callers.stop()  # also after a test that failed: they would ask for ever, and the run never end
         for program in rig.all:
             program.process.kill()
             program.process.wait()
@@ -129,18 +140,18 @@
         for peer in (*rig.nodes, *rig.discoveries):
             peer.sock.close()
         for program in rig.all[1:]:
-            rig.all[0].asked += program.asked
+            rig.all[0].sent += program.sent
             rig.all[0].answered += program.answered
-        judged(rig.audit, rig.all[0])
+        check_run(rig.audit, rig.all[0])
         lines = [line for program in rig.all for line in program.log]
         bad = [line for line in lines if "Traceback" in line or "fault" in line]
         assert faults or not bad, bad
 
 
-class Callers:
+class LoadClients:
     """Callers who ask the proxies that are there, in turn, without end."""
 
-    def __init__(self, rig: Fleet, threads: int = 3) -> None:
+    def __init__(self, rig: FleetRig, threads: int = 3) -> None:
         self.rig, self.on, self.statuses, self.slowest = rig, True, [0, 0], 0.0
         self.unheard = 0
         self.lock = threading.Lock()  # `order` counts its ids: two threads at once would give them out again
@@ -156,21 +167,21 @@
             programs = list(self.rig.programs.values())
             began = time.monotonic()
             with self.lock:
-                data = order("ok", LOOK if turn % 2 else "order-place")
+                data = build_request("ok", SAFE_CLASS if turn % 2 else "order-place")
             try:
-                status, _, _ = programs[turn % len(programs)].ask(data)
+                status, _, _ = programs[turn % len(programs)].request(data)
                 self.statuses[status == 200] += 1
             except OSError:
                 self.unheard += 1  # its proxy was killed: it asks another one
             self.slowest = max(self.slowest, time.monotonic() - began)
             time.sleep(0.01)
 
-    def warm(self) -> None:
+    def wait_until_warm(self) -> None:
         """Until each proxy knows how long its nodes take: before that it lets hardly anybody in, in a fleet or not."""
-        until(lambda: self.statuses[1] > 50 * len(self.rig.programs))
+        wait_until(lambda: self.statuses[1] > 50 * len(self.rig.programs))
         self.statuses[0] = 0
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.on = False
         for thread in self.threads:
             thread.join()
--- a/tests/lab/fake_engine.py
+++ b/tests/lab/fake_engine.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from slatelab.engine import Recording, Tick, Watch
+from slatelab.engine import ProgressCallback, ProgressSnapshot, Recording
 from slatelab.records import (
     Answered,
     Asked,
@@ -59,7 +59,7 @@
     return path
 
 
-def run(scenario: Scenario, seed: int, folder: Path, watch: Watch | None) -> Recording:
+def run(scenario: Scenario, seed: int, folder: Path, watch: ProgressCallback | None) -> Recording:
     """A hundred orders at two nodes. `proxy.attempts` = 1 makes all a little slower, 2 breaks a rule: one is answered
     twice."""
     rng = random.Random(seed)
@@ -70,7 +70,9 @@
     for n in range(100):
         records += order(n, n * 100_000, rng.randrange(20_000, 60_000) + slow)
         if watch:
-            watch(Tick(n * 100_000, 10_000_000, n, n, 0, 0, (40_000,), (("s-front-0", "warm", 1),)))
+            watch(
+                ProgressSnapshot(n * 100_000, 10_000_000, n, n, 0, 0, (40_000,), (("s-front-0", "warm", 1),))
+            )
     mud = ("mud", "slow", ("s-front-1",))
     records += [FaultBegan(3_000_000, *mud), FaultEnded(5_000_000, *mud)]
     said = ("p-front-0", "warning", "nodes", "<script>alert(1)</script>")
--- a/tests/lab/test_cli.py
+++ b/tests/lab/test_cli.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner, Result
 
 from slatelab.cli.group import group
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 
 
 def call(*words: object) -> Result:
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(
     ("problem", "code", "said"),
     [
-        (Invalid("the load ran late"), 3, "slatelab: the load ran late\n"),
+        (InvalidRunError("the load ran late"), 3, "slatelab: the load ran late\n"),
         (
             OSError(24, "Too many open files"),
             3,
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -18,14 +18,14 @@
 from hypothesis import strategies as st
 
 from slatelab import results
-from slatelab.engine import Invalid
+from slatelab.engine import InvalidRunError
 from slatelab.experiments import batch, compare, revisions, statistics, sweep
-from slatelab.experiments.run import Job, Summary, play, run
+from slatelab.experiments.run import Job, Summary, run, run_with_records
 from slatelab.records import FaultBegan, FaultEnded
 
 
 def job(tmp: Path, **more: Any) -> Job:
-    return Job(fake_engine.write(tmp), seed=3, keep=str(tmp / "results"), **more)
+    return Job(fake_engine.write(tmp), seed=3, results_folder=str(tmp / "results"), **more)
 
 
 # ---------------------------------------------------------------- results
@@ -35,8 +35,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fake_engine.install(monkeypatch)
-    one = run(job(tmp_path, changes=(("proxy.attempts", 3),)))
-    ((folder, result),) = results.every(tmp_path / "results")[0]
+    one = run(job(tmp_path, overrides=(("proxy.attempts", 3),)))
+    ((folder, result),) = results.load_all(tmp_path / "results")[0]
     assert (str(folder), result.trace_sha256, result.changes) == (
         one.result,
         one.trace_sha256,
@@ -48,7 +48,8 @@
 
 
 @pytest.mark.parametrize(
-    "problem", [Invalid("a proxy died"), OSError(errno.EMFILE, "too many open files"), KeyboardInterrupt()]
+    "problem",
+    [InvalidRunError("a proxy died"), OSError(errno.EMFILE, "too many open files"), KeyboardInterrupt()],
 )
 def test_an_engine_that_dies_leaves_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, problem: BaseException
@@ -58,7 +59,7 @@
         raise problem
 
     fake_engine.install(monkeypatch, dies)
-    with pytest.raises(KeyboardInterrupt if isinstance(problem, KeyboardInterrupt) else Invalid):
+    with pytest.raises(KeyboardInterrupt if isinstance(problem, KeyboardInterrupt) else InvalidRunError):
         run(job(tmp_path))
     assert not list((tmp_path / "results").iterdir())
 
@@ -72,7 +73,7 @@
 
     fake_engine.install(monkeypatch)
     monkeypatch.setattr(results.os, call, full)
-    with pytest.raises(results.Unwritable, match="No space left"):
+    with pytest.raises(results.ResultWriteError, match="No space left"):
         run(job(tmp_path))
     assert not list((tmp_path / "results").iterdir())
 
@@ -92,7 +93,7 @@
 ) -> None:
     fake_engine.install(monkeypatch, lambda *args: pytest.fail("it ran"))
     (tmp_path / "results").write_text("a file in the way")
-    with pytest.raises(results.Unwritable, match="File exists"):
+    with pytest.raises(results.ResultWriteError, match="File exists"):
         run(job(tmp_path))
 
 
@@ -106,13 +107,13 @@
     newer = tmp_path / "results" / "newer"
     newer.mkdir()
     (newer / "result.json").write_text('{"format": 2}')
-    good, skipped = results.every(tmp_path / "results")
+    good, skipped = results.load_all(tmp_path / "results")
     assert [str(folder) for folder, _ in good] == [first.result]
     assert len(skipped) == 3 and "not whole" in skipped[0] and "format 2, this version reads 1" in skipped[2]
 
 
 def test_records_beyond_the_bound_are_dropped_with_a_note(tmp_path: Path) -> None:
-    with results.draft(tmp_path, "r") as draft:
+    with results.new_result_folder(tmp_path, "r") as draft:
         assert "not kept" in draft.add_records([FaultBegan(1, "x" * 100, "kill")] * 20, limit=1000)
     assert not list(results.records(tmp_path / "r")) and not list((tmp_path / "r").iterdir())
 
@@ -134,7 +135,7 @@
         return recording
 
     fake_engine.install(monkeypatch, two)
-    troubles = play(job(tmp_path)).result.troubles
+    troubles = run_with_records(job(tmp_path)).result.troubles
     assert [(one.kind, *one.targets, one.begin, one.end) for one in troubles] == [
         ("slow", "a", 1, None),
         ("slow", "b", 2, 3),
@@ -168,16 +169,19 @@
     from statistics import NormalDist
 
     values = [NormalDist(5, 2).inv_cdf((i + 0.5) / 200) for i in range(200)]
-    of = statistics.interval(values)
+    of = statistics.confidence_interval(values)
     assert of.mean == pytest.approx(5) and of.low == pytest.approx(5 - 0.277, abs=0.02)
     assert of.high == pytest.approx(5 + 0.277, abs=0.02)
-    assert statistics.interval(values) == of
+    assert statistics.confidence_interval(values) == of
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=25)
 @given(st.lists(st.integers(-1000, 1000).map(float), max_size=8), st.integers(-100, 100))
 def test_an_interval_moves_with_its_values(values: list[float], by: int) -> None:
-    one, moved = statistics.interval(values), statistics.interval([value + by for value in values])
+    one, moved = (
+        statistics.confidence_interval(values),
+        statistics.confidence_interval([value + by for value in values]),
+    )
     if not values:
         assert math.isnan(one.mean)
     else:
@@ -195,8 +199,8 @@
         os._exit(9)
     time.sleep((4 - seed) * 0.1 if seed < 4 else 0)
     if seed == 5:
-        return batch.Spoiled("the load ran late", 3)
-    attempts = dict(one.changes).get("proxy.attempts", 4)
+        return batch.FailedRun("the load ran late", 3)
+    attempts = dict(one.overrides).get("proxy.attempts", 4)
     return Summary(
         scenario="made-up",
         engine="model",
@@ -226,7 +230,7 @@
     base = Job(fake_engine.write(tmp_path))
     plan = sweep.jobs(base, VARY, [1, 2, 3])
     ended: list[int] = []
-    whole = sweep.table(base, VARY, [1, 2, 3], batch.play_all(plan, 3, lambda i, one: ended.append(i), told))
+    whole = sweep.table(base, VARY, [1, 2, 3], batch.run_all(plan, 3, lambda i, one: ended.append(i), told))
     assert ended != sorted(ended)  # else this test shows nothing
     assert whole == sweep.table(base, VARY, [1, 2, 3], [told(one) for one in plan])
     assert [tuple(row.settings.values()) for row in whole.rows] == [
@@ -246,14 +250,14 @@
 
 def test_a_worker_that_dies_spoils_its_run_and_hangs_nothing(tmp_path: Path) -> None:
     plan = sweep.jobs(Job(fake_engine.write(tmp_path)), [], [13, 13])
-    assert batch.play_all(plan, 2, player=told) == [batch.Spoiled("a worker process died", 3)] * 2
+    assert batch.run_all(plan, 2, run_job=told) == [batch.FailedRun("a worker process died", 3)] * 2
 
 
 def test_pairs_stay_pairs_and_a_spoiled_one_counts_nowhere(tmp_path: Path) -> None:
     a = Job(fake_engine.write(tmp_path))
-    b = Job(a.file, changes=(("proxy.attempts", 2),))
+    b = Job(a.file, overrides=(("proxy.attempts", 2),))
     plan = compare.jobs(a, b, range(9))
-    assert [bool(one.changes) for one in plan[:4]] == [
+    assert [bool(one.overrides) for one in plan[:4]] == [
         False,
         True,
         True,
@@ -297,23 +301,23 @@
     git("add", ".")
     git("commit", "-qm", "new")
     (home / "slatehub" / "__init__.py").write_text("version = 'uncommitted'\n")
-    monkeypatch.setattr(revisions, "HOME", home)
+    monkeypatch.setattr(revisions, "REPOSITORY", home)
     return home
 
 
 def test_a_revision_is_what_was_committed_and_leaves_nothing_behind(repository: Path, tmp_path: Path) -> None:
     scratch = tmp_path / "scratch"
     scratch.mkdir()
-    side = revisions.side("HEAD", scratch, "model")
-    paths = revisions.overlay(side, scratch)
+    side = revisions.resolve_side("HEAD", scratch, "model")
+    paths = revisions.python_path(side, scratch)
     lab = Path(__file__).parents[2]
     code = "import slatehub, slatelab; print(slatehub.version, slatelab.__file__)"
-    env = batch.environment(Job(tmp_path, paths=(paths[0], lab)))
+    env = batch.child_environment(Job(tmp_path, python_path=(paths[0], lab)))
     said = subprocess.run(
         [sys.executable, "-P", "-B", "-c", code], env=env, cwd=lab, capture_output=True, text=True
     )
     assert said.stdout.split() == ["committed", str(lab / "slatelab" / "__init__.py")], said.stderr
-    assert revisions.state() == (side.tested, True)
+    assert revisions.repository_state() == (side.tested, True)
     trees = subprocess.run(
         ["git", "-C", str(repository), "worktree", "list"], capture_output=True, text=True
     ).stdout
@@ -332,6 +336,6 @@
 def test_a_side_that_cannot_be_run_says_why(
     repository: Path, tmp_path: Path, name: str, engine: str, reason: str
 ) -> None:
-    with pytest.raises(revisions.NoSuchSide, match=reason):
-        revisions.side(name, tmp_path, engine)
-    assert revisions.side("old", tmp_path, "live").tested
+    with pytest.raises(revisions.UnknownSideError, match=reason):
+        revisions.resolve_side(name, tmp_path, engine)
+    assert revisions.resolve_side("old", tmp_path, "live").tested
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -8,8 +8,8 @@
 import pytest
 from hypothesis import assume, given, settings, strategies as st
 
-from slatelab.judge import Ruling, judge
-from slatelab.plant.node_cold import Pressure, Ramp
+from slatelab.judge import JudgeReport, judge
+from slatelab.plant.node_cold import ColdOverloadDetector, WarmupRamp
 from slatelab.records import (
     Answered, Asked, Began, BrokenOff, Came, Down, FaultBegan, FaultEnded, GaveUp, Lagged, Logged, ProxyDown,
     ProxyUp, Record, Replied, Told, Up,
@@ -302,7 +302,7 @@
 START = 10 * S
 
 
-def cold(arrivals: list[tuple[int, int, str]], *more: Record, falls: bool = True) -> Ruling:
+def cold(arrivals: list[tuple[int, int, str]], *more: Record, falls: bool = True) -> JudgeReport:
     """Requests of (time since the start, work, proxy) at a cold node; "p" has been told of its start."""
     facts: list[Record] = [Up(START, "s-1", 1, 0, 1.0, 0.3, 9 * S), Down(9 * S, "s-1", 0, "killed")]
     facts += [Told(START, "p", "s-1", "SERVING", START), Told(START, "q", "s-1", "SERVING", 5 * S)]
@@ -315,10 +315,12 @@
     """Proxies are to blame for two thirds of the work, if told of this start, not of one before."""
     fell, one = Down(START + 2 * S, "s-1", 1, "fell"), 10 * MS
     assert cold([(S, one, "p")] * 2 + [(S, one, "q")], fell).counts == {"cold-pushed-over": 1}
-    assert cold([(S, one, "p")] + [(S, one, "q")] * 2, fell).clean
-    assert cold([(400 * MS, one, "p")] * 9 + [(S, one, "q")], fell).clean  # that was before the window
-    assert not cold([(7 * S, one, "q")], Down(START + 7 * S, "s-1", 1, "fell")).clean  # counts as told by now
-    assert cold([(S, one, "p")], Down(START + 2 * S, "s-1", 1, "killed")).clean
+    assert cold([(S, one, "p")] + [(S, one, "q")] * 2, fell).passed
+    assert cold([(400 * MS, one, "p")] * 9 + [(S, one, "q")], fell).passed  # that was before the window
+    assert not cold(
+        [(7 * S, one, "q")], Down(START + 7 * S, "s-1", 1, "fell")
+    ).passed  # counts as told by now
+    assert cold([(S, one, "p")], Down(START + 2 * S, "s-1", 1, "killed")).passed
 
 
 ARRIVALS = st.lists(st.tuples(st.integers(0, 200), st.integers(30, 300)), min_size=8, max_size=40)
@@ -330,7 +332,7 @@
     """What by the judge's own count must have pushed a node over does so in the plant, at the same request;
     from proxies that were not told, and to kinds that do not fall, as much may come as will. The judge grants a
     microsecond more, so sums that come as near as that are left out."""
-    pressure = Pressure(Ramp(START, 0.3, 9 * S), 1.0, 3.0, 1_500 * MS)
+    pressure = ColdOverloadDetector(WarmupRamp(START, 0.3, 9 * S), 1.0, 3.0, 1_500 * MS)
     inorder = sorted(((begin + at) * 10 * MS, work * MS) for at, work in arrivals)
     fell = None
     for t, work in inorder:
@@ -339,5 +341,5 @@
             assume(abs(pressure._sum - pressure.budget(START + t)) > 2)
     sent = [(t, work, "p") for t, work in inorder]
     assert [v.t for v in cold(sent).violations] == ([] if fell is None else [START + fell])
-    assert cold(sent, falls=False).clean
-    assert cold([(t, work, "q") for t, work, _ in sent if t < 6 * S]).clean
+    assert cold(sent, falls=False).passed
+    assert cold([(t, work, "q") for t, work, _ in sent if t < 6 * S]).passed
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -20,20 +20,20 @@
 import pytest
 import uvloop
 
-from slatelab.engine import Invalid, Tick
+from slatelab.engine import InvalidRunError, ProgressSnapshot
 from slatelab.judge import judge
 from slatelab.live import run
-from slatelab.live.caller import Exchange, Pool
+from slatelab.live.addresses import Addresses, listener
+from slatelab.live.client_pool import ConnectionPool, Exchange
 from slatelab.live.clock import Clock, monotonic_us
-from slatelab.live.late import Lateness
-from slatelab.live.link import Common, Far
+from slatelab.live.control_channel import HelperChannel, JobContext
+from slatelab.live.emulated_node import EmulatedNode, NodeLocation
 from slatelab.live.logs import parse as parse_log
-from slatelab.live.place import Place, Site
-from slatelab.live.places import Addresses, listener
-from slatelab.live.supervise import Keeper, leftovers
-from slatelab.plant.draw import Draw
-from slatelab.plant.faults import Standing
-from slatelab.plant.fleet import fleet
+from slatelab.live.schedule_lag import ScheduleLag
+from slatelab.live.supervisor import ProcessSupervisor, leftover_processes
+from slatelab.plant.faults import ActiveFaults
+from slatelab.plant.fleet import build_nodes
+from slatelab.plant.random_streams import RandomStreams
 from slatelab.records import Answered, Asked, Came, Replied
 from slatelab.scenario import Scenario, parse
 
@@ -76,7 +76,7 @@
 
 
 def test_a_tiny_day_with_the_real_proxy_is_judged_content_and_leaves_no_process(tmp_path: Path) -> None:
-    ticks: list[Tick] = []
+    ticks: list[ProgressSnapshot] = []
     what = scenario()
     recording = run(what, 1, tmp_path, ticks.append, ROOT, tmp_path)
     seen = Counter(type(record) for record in recording.records)
@@ -109,21 +109,23 @@
     assert len(pids(tmp_path)) == 4 and all(map(runs, pids(tmp_path).values()))
     lab.send_signal(number)
     assert lab.wait(SOON) != 0
-    assert all_gone(tmp_path) and leftovers(tmp_path) == []
+    assert all_gone(tmp_path) and leftover_processes(tmp_path) == []
 
 
 def test_a_node_process_that_dies_makes_the_run_invalid(tmp_path: Path) -> None:
-    def kill(tick: Tick) -> None:
+    def kill(tick: ProgressSnapshot) -> None:
         if runs(pid := pids(tmp_path)["nodes-0"]):
             os.kill(pid, signal.SIGKILL)
 
-    with pytest.raises(Invalid, match=r"nodes-0, a process of the lab, ended by itself with code -9"):
+    with pytest.raises(InvalidRunError, match=r"nodes-0, a process of the lab, ended by itself with code -9"):
         run(scenario("30 s"), 1, tmp_path, kill, ROOT, tmp_path)
     assert all_gone(tmp_path)
 
 
 def test_a_starved_load_generator_says_so(tmp_path: Path) -> None:
-    with pytest.raises(Invalid, match=r"the load ran late by \d+\.\d ms at p99: this machine is too busy"):
+    with pytest.raises(
+        InvalidRunError, match=r"the load ran late by \d+\.\d ms at p99: this machine is too busy"
+    ):
         run(scenario(), 1, tmp_path, None, ROOT, tmp_path, stall=(500_000, 400_000))
 
 
@@ -132,7 +134,9 @@
     tree.mkdir(parents=True)
     (tree / "__init__.py").touch()
     (tree / "__main__.py").write_text("raise SystemExit('settings: no such key')\n")
-    with pytest.raises(Invalid, match=r"p-front-1 ended by itself with code 1.*settings: no such key"):
+    with pytest.raises(
+        InvalidRunError, match=r"p-front-1 ended by itself with code 1.*settings: no such key"
+    ):
         run(scenario(), 1, tmp_path, None, tree.parent, tmp_path)
 
 
@@ -145,14 +149,15 @@
     def __init__(self, tmp: Path, at: Addresses) -> None:
         loop, what = asyncio.get_running_loop(), scenario()
         self.clock = Clock(loop, monotonic_us())
-        self.calm = Standing(what).of("s-front-1")
+        self.calm = ActiveFaults(what).conditions_for("s-front-1")
         self.told: list[str] = []
         self.address = (at.node(0), at.port)
-        self.place = Place(
-            Far(loop, Common("town", monotonic_us(), tmp / "facts")), what, Draw(1),
-            Site(fleet(what, Draw(1))[0], *self.address), lambda say, **more: self.told.append(say),
+        self.place = EmulatedNode(
+            HelperChannel(loop, JobContext("town", monotonic_us(), tmp / "facts")), what, RandomStreams(1),
+            NodeLocation(build_nodes(what, RandomStreams(1))[0], *self.address),
+            lambda say, **more: self.told.append(say),
         )  # fmt: skip
-        self.place.up(False, self.calm, False)
+        self.place.start(False, self.calm, False)
 
     async def visit(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.wait_for(asyncio.open_connection(*self.address), SOON)
@@ -184,11 +189,11 @@
 def test_a_black_hole_hangs_connects_and_its_end_resets_what_was_open(tmp_path: Path) -> None:
     async def act(town: Town) -> None:
         reader, writer = await town.visit()
-        town.place.cut_off()
+        town.place.isolate()
         await nothing(asyncio.open_connection(*town.address))
         writer.write(REQUEST)
         await nothing(reader.read(1))
-        town.place.reach_again()
+        town.place.end_isolation()
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.read(1), SOON)
         reader, writer = await town.visit()
@@ -200,14 +205,14 @@
 
 def test_a_frozen_node_takes_connections_and_answers_once_it_thaws(tmp_path: Path) -> None:
     async def act(town: Town) -> None:
-        town.place.set({**town.calm, "frozen": True})
+        town.place.set_condition({**town.calm, "frozen": True})
         reader, writer = await town.visit()
         writer.write(REQUEST)
         prober, probe = await town.visit()
         probe.write(b"GET /health HTTP/1.1\r\n\r\n")
         await nothing(reader.read(1))
         await nothing(prober.read(1))
-        town.place.set(town.calm)
+        town.place.set_condition(town.calm)
         assert await asyncio.wait_for(reader.readline(), SOON) == b"HTTP/1.1 200 OK\r\n"
         assert await asyncio.wait_for(prober.readline(), SOON) == b"HTTP/1.1 200 OK\r\n"
 
@@ -217,14 +222,14 @@
 def test_a_killed_node_resets_its_connections_and_refuses_new_ones(tmp_path: Path) -> None:
     async def act(town: Town) -> None:
         reader, _ = await town.visit()
-        while not town.place.visits:
+        while not town.place.connections:
             await asyncio.sleep(0)
-        town.place.down("killed")
+        town.place.crash("killed")
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.read(1), SOON)
         with pytest.raises(ConnectionRefusedError):
             await town.visit()
-        town.place.again(True, town.calm, False)
+        town.place.restart(True, town.calm, False)
         await town.visit()
         assert town.told == ["up", "down", "up"] and town.place.spec.id == "s-front-1-r1"
 
@@ -242,7 +247,7 @@
         self.door = listener("127.0.0.1", 0)
         self.surplus: list[int] = []
         address, heard = self.door.getsockname(), self.surplus.append
-        self.pool = Pool(self.loop, monotonic_us, address, lambda _, status, body: heard(status))
+        self.pool = ConnectionPool(self.loop, monotonic_us, address, lambda _, status, body: heard(status))
         self.ended: asyncio.Queue[Exchange] = asyncio.Queue()
 
     async def ask(self) -> Exchange:
@@ -282,7 +287,7 @@
         await shop.ask()
         await shop.serve(await shop.welcome(), GOOD)
         again = await shop.end()
-        assert again.status == 200 and again.crossed
+        assert again.status == 200 and again.resent
 
     shop(act)
 
@@ -297,7 +302,7 @@
         await shop.serve(sock, b"")
         sock.close()
         lost = await shop.end()
-        assert (lost.status, lost.why, lost.sent_at > 0) == (0, "closed", True)
+        assert (lost.status, lost.failure, lost.sent_at > 0) == (0, "closed", True)
         await nothing(shop.welcome())
 
     shop(act)
@@ -319,11 +324,11 @@
 
 
 def test_leftovers_are_named_while_they_run_and_never_touched(tmp_path: Path) -> None:
-    keeper = Keeper(tmp_path)
+    keeper = ProcessSupervisor(tmp_path)
     child = keeper.start("sleeper", ["/bin/sleep", "600"], cwd=tmp_path, env={})
-    assert leftovers(tmp_path) == [f"sleeper ({child.pid})"] and runs(child.pid)
+    assert leftover_processes(tmp_path) == [f"sleeper ({child.pid})"] and runs(child.pid)
     keeper.close()
-    assert leftovers(tmp_path) == [] and not runs(child.pid)
+    assert leftover_processes(tmp_path) == [] and not runs(child.pid)
 
 
 def test_two_runs_side_by_side_have_different_nets() -> None:
@@ -336,16 +341,16 @@
 
 
 def test_lateness_is_refused_by_its_p99_and_by_its_worst_second() -> None:
-    late = Lateness()
+    late = ScheduleLag()
     for i in range(10_000):
-        late.note(i * 1000, 9_000)
-    assert late.complaint() == "" and late.p99_us == 9_000
+        late.record(i * 1000, 9_000)
+    assert late.invalid_reason() == "" and late.p99_us == 9_000
     for _ in range(60):  # too few for the p99, but most of that second
-        late.note(10_500_000, 70_000)
-    assert "70.0 ms on average in second 10" in late.complaint()
+        late.record(10_500_000, 70_000)
+    assert "70.0 ms on average in second 10" in late.invalid_reason()
     for _ in range(200):
-        late.note(5_000_000, 12_000)
-    assert "12.0 ms at p99" in late.complaint()
+        late.record(5_000_000, 12_000)
+    assert "12.0 ms at p99" in late.invalid_reason()
 
 
 @pytest.mark.parametrize("line, want", [
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -16,17 +16,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.model_theory import CELLS, MEAN_S, mean_wait, play
+from benchmarks.model_theory import CELLS, MEAN_SERVICE_S, mean_wait, simulate
 from paddlestep.balance import Balancer
-from slatehub.core.jobs import Answer, Printed, Verdict
+from slatehub.core.jobs import Answer, AnswerStatus, NodeResponse
 from slatelab import records as r
 from slatelab.judge import judge
 from slatelab.model import run
-from slatelab.model.day import Day
-from slatelab.model.floor import Floor
-from slatelab.model.network import Way
-from slatelab.model.worded import worded
-from slatelab.records import digest, order_of
+from slatelab.model.http_response import http_response
+from slatelab.model.network import OrderedChannel
+from slatelab.model.node_connections import NodeConnectionPool
+from slatelab.model.virtual_clock import VirtualClock
+from slatelab.records import digest, order_id
 from slatelab.scenario import Scenario, parse
 
 ROOT = Path(__file__).parents[2]
@@ -58,7 +58,7 @@
 def played(scenario: Scenario, seed: int = 1) -> list[r.Record]:
     records = run(scenario, seed, ROOT, None).records
     ruling = judge(scenario, records)
-    assert ruling.clean, ruling.violations[0].explain()
+    assert ruling.passed, ruling.violations[0].explain()
     assert [fact.t for fact in records] == sorted(fact.t for fact in records)
     return records
 
@@ -108,7 +108,7 @@
     assert digest(run(scenario, 2, ROOT, None).records) != digest(ours.records)
     assert [tick.t for tick in ticks[:3]] == [0, 100_000, 200_000]
     last = ticks[-1]
-    orders = {order_of(fact.request) for fact in of(r.Asked, ours.records)}
+    orders = {order_id(fact.request) for fact in of(r.Asked, ours.records)}
     assert last.served + last.refused + last.failed == last.asked == len(orders)
     assert sum(len(tick.latencies_us) for tick in ticks) == last.served
 
@@ -140,15 +140,15 @@
 @pytest.mark.parametrize("name", ["M/M/1", "M/M/4", "M/LN/1 cv 2"])
 def test_waits_are_those_of_the_exact_recursion(name: str) -> None:
     cell = next(cell for cell in CELLS if cell.name == name and cell.load == 0.8)
-    means = play(cell, 1, 3000, 0)
+    means = simulate(cell, 1, 3000, 0)
     assert means["furthest_us"] <= 1 and means["wait"] > 0.01
 
 
 def test_the_mean_wait_is_that_of_theory() -> None:
     cell = next(cell for cell in CELLS if cell.name == "M/M/1" and cell.load == 0.5)
-    theory = mean_wait(1, cell.rate, MEAN_S, 2 * MEAN_S**2)
-    assert theory == pytest.approx(MEAN_S)  # rho / (1 - rho) of the mean work
-    assert play(cell, 1, 20_000)["wait"] == pytest.approx(theory, rel=0.1)
+    theory = mean_wait(1, cell.rate, MEAN_SERVICE_S, 2 * MEAN_SERVICE_S**2)
+    assert theory == pytest.approx(MEAN_SERVICE_S)  # rho / (1 - rho) of the mean work
+    assert simulate(cell, 1, 20_000)["wait"] == pytest.approx(theory, rel=0.1)
 
 
 # ---------------------------------------------------------------- what befalls the plant
@@ -313,15 +313,15 @@
 
 
 def test_a_proxy_keeps_to_its_share_of_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
-    most, open_now, connect = [], [], Floor.connect
+    most, open_now, connect = [], [], NodeConnectionPool.connect
 
-    def counted(self: Floor, *args: Any) -> Any:
+    def counted(self: NodeConnectionPool, *args: Any) -> Any:
         line = connect(self, *args)
-        most.append(self.most)
-        open_now.append(self.lines)
+        most.append(self.max_connections)
+        open_now.append(self.open_connections)
         return line
 
-    monkeypatch.setattr(Floor, "connect", counted)
+    monkeypatch.setattr(NodeConnectionPool, "connect", counted)
     wide = [{"name": "front", "kind": [{**NODES, "nodes": 30}]}]
     played(parse(tree(tier=wide, proxy={"sockets": 64}, arrivals=[{"kind": "poisson", "rate": "300/s"}])))
     assert set(most) == {13} and max(open_now) == 13 and len(open_now) > 100
@@ -330,12 +330,12 @@
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 500), st.integers(0, 500)), min_size=1))
 def test_what_is_sent_later_arrives_later(sent: list[tuple[int, int]]) -> None:
-    day, arrived, delays = Day(), [], iter([delay for _, delay in sent])
-    way = Way(day, lambda: next(delays))
+    day, arrived, delays = VirtualClock(), [], iter([delay for _, delay in sent])
+    way = OrderedChannel(day, lambda: next(delays))
     at = 0
     for n, (gap, _) in enumerate(sent):
         at += gap
-        day.at(at, lambda n=n: way.send(arrived.append, n))
+        day.call_at(at, lambda n=n: way.send(arrived.append, n))
     day.run()
     assert arrived == list(range(len(sent)))
 
@@ -357,17 +357,29 @@
 def test_the_model_keeps_up_with_the_program() -> None:
     """Its figures are the program's own, which loads sockets and so cannot be asked by the engine."""
     node_list = pytest.importorskip("slatehub.discovery.node_list")
-    from slatehub.drivers import line
-    from slatehub.fronts.http1 import screens
+    from slatehub.drivers import upstream
+    from slatehub.fronts.http1 import server
     from slatehub.nodes import http1
-    from slatelab.model import floor, hall, listing, proxy
-
-    assert (listing.WAIT_US, listing.SILENT_US) == (node_list.WAIT_MS * 1000, node_list.SILENT_US)
-    assert (floor.HOLD_US, floor.CLOSE_EARLY_US) == (line.HOLD_S * 1e6, http1.CLOSE_EARLY_US)
-    assert hall.KEEP_US == screens.KEEP_US
-    assert proxy.MARGIN_US == screens.MARGIN_US
-    for answer in (*map(Answer, (Verdict.FAILED, Verdict.OVERDUE)), Answer(Verdict.REFUSED, None, 1_234_567)):
-        status, extra, *_ = screens.OrderScreen._word(None, answer)
-        assert worded(answer) == (status, "", round(float(extra.partition(": ")[2] or 0) * 1e6))
-    assert screens.OrderScreen._word(None, Answer(Verdict.SERVED, Printed(b"x", "")))[0] == 200
-    assert worded(Answer(Verdict.SERVED, "token")) == (200, "token", 0)
+    from slatelab.model import client_listener, discovery_client, node_connections, proxy
+
+    assert (discovery_client.WAIT_US, discovery_client.WATCH_DEADLINE_US) == (
+        node_list.WATCH_TIMEOUT_MS * 1000,
+        node_list.WATCH_DEADLINE_US,
+    )
+    assert (node_connections.HOLD_US, node_connections.CLOSE_EARLY_US) == (
+        upstream.LAST_BYTE_DELAY_S * 1e6,
+        http1.IDLE_CLOSE_MARGIN_US,
+    )
+    assert client_listener.KEEP_ALIVE_US == server.KEEP_ALIVE_US
+    assert proxy.DEADLINE_MARGIN_US == server.DELIVERY_MARGIN_US
+    for answer in (
+        *map(Answer, (AnswerStatus.FAILED, AnswerStatus.DEADLINE_EXCEEDED)),
+        Answer(AnswerStatus.REFUSED, None, 1_234_567),
+    ):
+        status, extra, *_ = server.CallerConnection._format_answer(None, answer)
+        assert http_response(answer) == (status, "", round(float(extra.partition(": ")[2] or 0) * 1e6))
+    assert (
+        server.CallerConnection._format_answer(None, Answer(AnswerStatus.SERVED, NodeResponse(b"x", "")))[0]
+        == 200
+    )
+    assert http_response(Answer(AnswerStatus.SERVED, "token")) == (200, "token", 0)
--- a/tests/lab/test_node.py
+++ b/tests/lab/test_node.py
@@ -1,4 +1,4 @@
-"""NodeMachine against sums done by hand, and against a model of its states under random steps."""
+"""NodeSimulator against sums done by hand, and against a model of its states under random steps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
 from slatelab.plant.fleet import NodeSpec
-from slatelab.plant.node import Act, Call, CallOut, Falls, NodeMachine, Reply, Starts
+from slatelab.plant.node import (
+    DownstreamCall,
+    NodeCrashed,
+    NodeOutput,
+    NodeRequest,
+    NodeSimulator,
+    Reply,
+    WorkStarted,
+)
 from slatelab.scenario import parse
 
 MS, S = 1_000, 1_000_000
@@ -31,25 +39,25 @@
             "tier": [front, *([{"name": "back", "kind": [{"name": "b", "nodes": 1}]}] if calls else [])],
         })  # fmt: skip
         spec = NodeSpec("s-front-1", 0, self.scenario.tiers[0].kind[0], speed, "127.16.0.1")
-        self.node = NodeMachine(self.scenario, spec, random.Random(1), 0, 2, new)
+        self.node = NodeSimulator(self.scenario, spec, random.Random(1), 0, 2, new)
         self.now = self.keys = 0
-        self.log: list[tuple[int, Act]] = []
+        self.log: list[tuple[int, NodeOutput]] = []
 
-    def hear(self, acts: list[Act]) -> list[Act]:
+    def hear(self, acts: list[NodeOutput]) -> list[NodeOutput]:
         self.log += [(self.now, act) for act in acts]
         return acts
 
     def until(self, t: int) -> None:
-        while (due := self.node.due()) is not None and due <= t:
+        while (due := self.node.next_event_time()) is not None and due <= t:
             assert due >= self.now
             self.now = due
             self.hear(self.node.advance(due))
         self.now = t
 
-    def ask(self, t: int, work: int, cls: int = 0) -> list[Act]:
+    def ask(self, t: int, work: int, cls: int = 0) -> list[NodeOutput]:
         self.until(t)
         self.keys += 1
-        call = Call(self.keys, f"o{self.keys}.0", "p", cls, self.keys, work, "", t + 3 * S)
+        call = NodeRequest(self.keys, f"o{self.keys}.0", "p", cls, self.keys, work, "", t + 3 * S)
         return self.hear(self.node.arrive(t, call))
 
     def ends(self, t: int = 100 * S, status: int = 200) -> dict[int, int]:
@@ -99,7 +107,7 @@
     hand.ask(0, 10 * MS)
     for t, slow in ((5, 4.0), (9, 1.0)):
         hand.until(t * MS)
-        hand.node.condition(hand.now, slow=slow)
+        hand.node.set_conditions(hand.now, slow=slow)
     assert [hand.node.connect(10 * MS, "p") for _ in range(3)] == [True, True, False]
     assert hand.ends(S) == {1: 19 * MS}  # 3 ms were left, for one of three
     hand.node.disconnect(hand.now, "p")
@@ -118,12 +126,12 @@
 @pytest.mark.parametrize("drops", [True, False])
 def test_it_turns_away_what_it_has_no_room_for_and_drops_what_waits_for_nobody(drops: bool) -> None:
     hand = Hand(slots=1, waiting=1, drops_cancelled=drops)
-    assert [hand.ask(0, 2 * MS) for _ in range(3)] == [[Starts(1)], [], [Reply(3, 503, True)]]
+    assert [hand.ask(0, 2 * MS) for _ in range(3)] == [[WorkStarted(1)], [], [Reply(3, 503, True)]]
     for key in (1, 2):
         hand.hear(hand.node.cancel(MS, key))
-    assert hand.node.held == 2 - drops
+    assert hand.node.pending_requests == 2 - drops
     assert hand.ends(S) == ({1: 2 * MS} if drops else {1: 2 * MS, 2: 4 * MS})
-    hand.node.condition(S, draining=True)
+    hand.node.set_conditions(S, draining=True)
     assert hand.ask(S, MS) == [Reply(4, 503, True)]
 
 
@@ -131,28 +139,31 @@
     hand, name = Hand(slots=1, calls=2), "s-front-1x2000000001"
     hand.ask(0, 30 * MS), hand.ask(0, 30 * MS)
     hand.until(S // 2)
-    assert hand.node.returned(S // 2, 1, 1, True) == []  # no such call is out
+    assert hand.node.downstream_call_finished(S // 2, 1, 1, True) == []  # no such call is out
     hand.until(S)  # the slot is kept: the other waits
-    assert hand.log == [(0, Starts(1)), (10 * MS, CallOut(1, 0, f"o1.0/{name}/0", "0", 3 * S))]
-    hand.node.condition(S, strip=True)
-    hand.hear(hand.node.returned(S, 1, 0, True))
+    assert hand.log == [(0, WorkStarted(1)), (10 * MS, DownstreamCall(1, 0, f"o1.0/{name}/0", "0", 3 * S))]
+    hand.node.set_conditions(S, strip=True)
+    hand.hear(hand.node.downstream_call_finished(S, 1, 0, True))
     hand.until(2 * S)
-    assert hand.log[2] == (S + 10 * MS, CallOut(1, 1, f"o1.0/{name}/1", "1", hand.log[2][0] + 5 * S))
-    hand.hear(hand.node.returned(2 * S, 1, 1, True))
+    assert hand.log[2] == (S + 10 * MS, DownstreamCall(1, 1, f"o1.0/{name}/1", "1", hand.log[2][0] + 5 * S))
+    hand.hear(hand.node.downstream_call_finished(2 * S, 1, 1, True))
     hand.until(3 * S)
     assert hand.log[3] == (2 * S + 10 * MS, Reply(1, 200, False, "s-front-1/2/1/o1.0"))
-    assert hand.node.returned(3 * S, 2, 0, False) == [Reply(2, 500)] and hand.node.held == 0
+    assert (
+        hand.node.downstream_call_finished(3 * S, 2, 0, False) == [Reply(2, 500)]
+        and hand.node.pending_requests == 0
+    )
 
 
 def test_errors_come_quickly_and_heavy_tails_befall_their_class() -> None:
     hand = Hand()
     for t, cls, errors in ((0, 0, 1.0), (1, 1, 0.0), (2, 0, 0.0)):
         hand.until(t * S)
-        hand.node.condition(t * S, errors=errors, tail=(1.0, 8.0, 1))
+        hand.node.set_conditions(t * S, errors=errors, tail=(1.0, 8.0, 1))
         hand.ask(t * S, 100 * MS, cls)
     assert hand.ends(status=500) == {1: MS} and hand.ends() == {2: 1800 * MS, 3: 2100 * MS}
     hand = Hand(errors=1.0)
-    hand.node.condition(0, errors=0.0)  # a fault has ended: as bad as its kind is
+    hand.node.set_conditions(0, errors=0.0)  # a fault has ended: as bad as its kind is
     hand.ask(0, 100 * MS)
     assert hand.ends(status=500) == {1: MS}
 
@@ -161,12 +172,12 @@
     hand = Hand(slots=2, waiting=0, calls=1, pause={"every": "50 s", "length": "1 s"})
     hand.ask(0, 2 * MS), hand.ask(MS, 20 * MS)
     hand.until(4 * MS)  # the first has called, the second is at work
-    hand.node.condition(4 * MS, frozen=True)
-    assert hand.node.returned(5 * MS, 1, 0, False) == [] == hand.ask(5 * MS, MS)
+    hand.node.set_conditions(4 * MS, frozen=True)
+    assert hand.node.downstream_call_finished(5 * MS, 1, 0, False) == [] == hand.ask(5 * MS, MS)
     assert hand.ask(6 * MS, MS) == hand.ask(6 * MS, MS) == [] == hand.node.cancel(7 * MS, 3)
     hand.until(S)
-    assert len(hand.log) == 3 and hand.node.due() is None
-    assert hand.node.condition(S, frozen=False) == [Reply(1, 500), Starts(4), Reply(5, 503, True)]
+    assert len(hand.log) == 3 and hand.node.next_event_time() is None
+    assert hand.node.set_conditions(S, frozen=False) == [Reply(1, 500), WorkStarted(4), Reply(5, 503, True)]
 
 
 def test_the_report_is_of_the_last_second_and_refreshed_at_its_times() -> None:
@@ -174,13 +185,13 @@
     for n in range(102):
         hand.ask(n * 50 * MS, 40 * MS)  # two fifths of two cores
         hand.until(n * 50 * MS + 20 * MS)
-        hand.node.report(hand.now)  # in the midst of it
+        hand.node.load_report(hand.now)  # in the midst of it
     hand.until(5100 * MS)
-    report = hand.node.report(hand.now)
+    report = hand.node.load_report(hand.now)
     assert report == {"qps": pytest.approx(20, rel=0.1), "util": pytest.approx(0.4, rel=0.1)}
-    report = hand.node.report(hand.now + 70 * MS)
-    assert hand.node.report(hand.now + 139 * MS) == report != hand.node.report(hand.now + 140 * MS)
-    assert max(hand.node.report(10 * S).values()) < 0.01
+    report = hand.node.load_report(hand.now + 70 * MS)
+    assert hand.node.load_report(hand.now + 139 * MS) == report != hand.node.load_report(hand.now + 140 * MS)
+    assert max(hand.node.load_report(10 * S).values()) < 0.01
 
 
 @pytest.mark.parametrize("at,budget", [(0, 900 * MS), (2 * S, 3 * 487_500)])
@@ -192,12 +203,12 @@
         if at:
             hand.ask(at - 1500 * MS, 10 * S)  # just out of the window, and turns the others away
         acts = [hand.ask(at, budget + more) for _ in range(3)]
-        assert [Falls() in done for done in acts] == [False, False, more > 0]
+        assert [NodeCrashed() in done for done in acts] == [False, False, more > 0]
     assert hand.ask(at, 1) == [] and not hand.node.connect(at, "p")
-    assert hand.node.held == 0 and hand.node.due() is None
+    assert hand.node.pending_requests == 0 and hand.node.next_event_time() is None
     hand = Hand(True, cold=COLD, slots=1, waiting=0)
     for _ in range(9):  # warm by then
-        assert Falls() not in hand.ask(8 * S, budget)
+        assert NodeCrashed() not in hand.ask(8 * S, budget)
 
 
 @CALM
@@ -213,9 +224,9 @@
     times = accumulate(gap for gap, _ in asked)
     for t, work in [*((t, work) for t, (_, work) in zip(times, asked, strict=True)), (1000 * S, 0)]:
         while hand.now < t:
-            to = min(t, hand.node.due() or t)  # something ends, or the ramp
-            running = min(hand.node.held, cores, slots)
-            did += running * speed * hand.node.present((hand.now + to) // 2) * (to - hand.now)
+            to = min(t, hand.node.next_event_time() or t)  # something ends, or the ramp
+            running = min(hand.node.pending_requests, cores, slots)
+            did += running * speed * hand.node.available_capacity((hand.now + to) // 2) * (to - hand.now)
             hand.until(to)
         hand.ask(t, work) if work else None
     assert did == pytest.approx(sum(work for _, work in asked), abs=len(asked) * cores * speed + 1)
@@ -251,23 +262,23 @@
             other.hear(other.node.advance(t))
         one.until(one.now + span)
         other.until(one.now)
-        calls = [(act.key, act.index) for act in one.all(CallOut)]
+        calls = [(act.key, act.index) for act in one.all(DownstreamCall)]
         for call, ok in zip([call for call in calls if call not in self.back], oks or [], strict=False):
             self.back.add(call)
             for hand in self.hands:
-                hand.hear(hand.node.returned(hand.now, *call, ok))
+                hand.hear(hand.node.downstream_call_finished(hand.now, *call, ok))
 
     @rule(span=SPAN, oks=OKS, works=WORKS, leaves=st.integers(0, 9), what=CHANGE)
     def step(self, span: int, oks: list[bool], works: list[int], leaves: int, what: dict[str, Any]) -> None:
         self.wait(span, oks)
-        started = {act.key for act in self.hands[0].all(Starts)}
+        started = {act.key for act in self.hands[0].all(WorkStarted)}
         for key in self.open()[leaves : leaves + 1]:
             self.dropped |= {key} - started if self.drops else set()
             for hand in self.hands:
                 hand.hear(hand.node.cancel(hand.now, key))
         self.frozen = what.get("frozen", self.frozen)
         for hand in self.hands:
-            hand.hear(hand.node.condition(hand.now, **what) if what else [])
+            hand.hear(hand.node.set_conditions(hand.now, **what) if what else [])
             for work in works:
                 hand.ask(hand.now, work, work % 2)
             hand.node.connect(hand.now, "p")
@@ -275,19 +286,21 @@
     def open(self) -> list[int]:
         replied = [act.key for act in self.hands[0].all(Reply)]
         assert len(set(replied)) == len(replied) and not self.dropped & set(replied)
-        keys = () if self.hands[0].all(Falls) else range(1, self.hands[0].keys + 1)
+        keys = () if self.hands[0].all(NodeCrashed) else range(1, self.hands[0].keys + 1)
         return [key for key in keys if key not in {*replied, *self.dropped}]
 
     @invariant()
     def holds(self) -> None:
         one, other = self.hands
-        began, open_ = [act.key for act in one.all(Starts)], self.open()
+        began, open_ = [act.key for act in one.all(WorkStarted)], self.open()
         assert one.log == other.log
         assert len(set(began)) == len(began) and len(set(began) & set(open_)) <= 3
-        assert not one.all(Falls) or isinstance(one.log[-1][1], Falls)
+        assert not one.all(NodeCrashed) or isinstance(one.log[-1][1], NodeCrashed)
         assert not set(began) & {act.key for act in one.all(Reply) if act.turned}
-        assert one.node.held <= len(open_) and (self.frozen or one.node.held == len(open_))
-        assert (due := one.node.due()) is None or due >= one.now
+        assert one.node.pending_requests <= len(open_) and (
+            self.frozen or one.node.pending_requests == len(open_)
+        )
+        assert (due := one.node.next_event_time()) is None or due >= one.now
 
     def teardown(self) -> None:
         if hasattr(self, "hands"):
@@ -295,7 +308,7 @@
             while self.open():
                 self.wait(2 * S, [True] * 3)
             self.wait(2 * S)
-            assert self.hands[0].node.held == 0
+            assert self.hands[0].node.pending_requests == 0
 
 
 def test_each_attempt_ends_once_whatever_happens() -> None:
--- a/tests/lab/test_peers_of_scenarios.py
+++ b/tests/lab/test_peers_of_scenarios.py
@@ -12,7 +12,7 @@
 from slatelab.judge import judge
 from slatelab.live import run as live
 from slatelab.model import run
-from slatelab.model.run import Play
+from slatelab.model.run import Simulation
 from slatelab.scenario import load, parse
 
 FOLDER = Path(__file__).parents[2] / "scenarios"
@@ -48,45 +48,51 @@
         "part": 0.9 if kind == "peer-lossy" else 0.0,
     }
     chosen = {} if kind == "peer-lossy" else {"names": ["p-front-1", "p-front-2", "p-front-3"]}
-    day = Play(parse({**_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
+    day = Simulation(parse({**_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
     counts = []
-    day.world.day.at(
-        10_900_000, lambda: counts.append([e.peer.tally().there for e in day.world.between.ends.values()])
+    day.context.clock.call_at(
+        10_900_000,
+        lambda: counts.append(
+            [e.peer.member_counts().present for e in day.context.peer_network.endpoints.values()]
+        ),
     )
-    day.play()
-    assert judge(day.world.scenario, day.world.records).violations == []
+    day.run()
+    assert judge(day.context.scenario, day.context.records).violations == []
     if kind == "peer-cut":
         assert (
             max(counts[0]) <= 5 and sum(counts[0]) <= 30
         )  # of 26 once all suspicions have ended, 56 before the cut
-    assert {end.peer.tally().there for end in day.world.between.ends.values()} == {7}
+    assert {end.peer.member_counts().present for end in day.context.peer_network.endpoints.values()} == {7}
 
 
 def test_a_frozen_proxy_wakes_among_the_others_and_no_rule_is_broken() -> None:
-    day = Play(
+    day = Simulation(
         load(FOLDER / "one-frozen.toml", {**SHORT, "fault.0.for": "5 s", "tier.0.proxies": 6}),
         1,
         FOLDER,
         None,
     )
     seen = []
-    day.world.day.at(
-        8_900_000, lambda: seen.append([e.peer.tally().alive for e in day.world.between.ends.values()])
+    day.context.clock.call_at(
+        8_900_000,
+        lambda: seen.append(
+            [e.peer.member_counts().alive for e in day.context.peer_network.endpoints.values()]
+        ),
     )
-    day.play()
-    assert judge(day.world.scenario, day.world.records).violations == []
+    day.run()
+    assert judge(day.context.scenario, day.context.records).violations == []
     assert sorted(seen[0]) == [4, 4, 4, 4, 4, 5]  # the one that sleeps still holds what it last knew
-    assert {end.peer.tally().alive for end in day.world.between.ends.values()} == {5}
+    assert {end.peer.member_counts().alive for end in day.context.peer_network.endpoints.values()} == {5}
     asleep = [
         f
-        for f in day.world.records
+        for f in day.context.records
         if isinstance(f, r.Came) and f.proxy == _frozen(day) and 4e6 < f.first < 9e6
     ]
     assert not asleep
 
 
-def _frozen(day: Play) -> str:
-    return next(f.targets[0] for f in day.world.records if isinstance(f, r.FaultBegan))
+def _frozen(day: Simulation) -> str:
+    return next(f.targets[0] for f in day.context.records if isinstance(f, r.FaultBegan))
 
 
 def test_one_loud_proxy_alone_turns_away_what_the_fleet_together_has_room_for() -> None:
@@ -95,7 +101,7 @@
     alone = judge(scenario, run(scenario, 1, FOLDER, None).records)
     assert set(alone.counts) == {"worth-inverted"}
     scenario = load(FOLDER / "one-loud.toml", short)
-    assert judge(scenario, run(scenario, 1, FOLDER, None).records).clean
+    assert judge(scenario, run(scenario, 1, FOLDER, None).records).passed
 
 
 def test_attempts_of_the_fleet_are_held_to_their_limit() -> None:
