--- a/tests/lab/test_plant.py
+++ b/tests/lab/test_plant.py
@@ -20,15 +20,22 @@
 from hypothesis import strategies as st
 
 from paddlestep import Effect, Scope, ServiceClass, Settings, Tenant
-from slatehub.settings.reader import load as proxy_reads
+from slatehub.settings.reader import load_config as proxy_reads
 from slatelab.plant import settings as papers
-from slatelab.plant.capacity import offered, problems
-from slatelab.plant.check import wrong
-from slatelab.plant.client import End, TryAgain, after, until
-from slatelab.plant.draw import Draw
-from slatelab.plant.faults import Change, Standing, schedule
-from slatelab.plant.fleet import fleet, proxies, replacement
-from slatelab.plant.workload import Order, arrivals, call_count, call_work, orders, work
+from slatelab.plant.capacity import offered_load, overload_errors
+from slatelab.plant.check import find_errors
+from slatelab.plant.client import AttemptOutcome, Retry, attempt_timeout_at, next_retry
+from slatelab.plant.faults import ActiveFaults, FaultEvent, build_fault_schedule
+from slatelab.plant.fleet import build_nodes, build_proxies, replacement
+from slatelab.plant.random_streams import RandomStreams
+from slatelab.plant.workload import (
+    Order,
+    call_count,
+    call_work,
+    generate_arrivals,
+    generate_orders,
+    sample_work,
+)
 from slatelab.scenario import Scenario, ScenarioError, parse
 from slatelab.scenario.types import Work
 
@@ -61,23 +68,27 @@
 
 
 def test_streams_differ_by_every_name_and_by_nothing_else() -> None:
-    draw = Draw(7)
+    draw = RandomStreams(7)
     first = draw.stream("order", 1).random()
     draw.stream("order", 2).random()
     assert draw.stream("order", 1).random() == first
     names: list[tuple[str | int, ...]] = [("order", 1), (1, "order"), ("order", 1, 1), ("order1",), ()]
-    assert len({draw.stream(*name).random() for name in names} | {Draw(8).stream("order", 1).random()}) == 6
+    assert (
+        len({draw.stream(*name).random() for name in names} | {RandomStreams(8).stream("order", 1).random()})
+        == 6
+    )
 
 
 PLAY = """
 import hashlib, sys
 from pathlib import Path
-from slatelab.plant import draw, faults, fleet, workload
+from slatelab.plant import random_streams, faults, fleet, workload
 from slatelab.scenario import load
-s, d = load(Path("scenarios/flash-crowd.toml")), draw.Draw(5)
-f, d2 = load(Path("scenarios/stripped.toml")), draw.Draw(5)
-nodes = fleet.fleet(f, d2)
-day = (workload.orders(s, d, Path()), nodes, faults.schedule(f, d2, nodes, fleet.proxies(f, nodes)))
+s, d = load(Path("scenarios/flash-crowd.toml")), random_streams.RandomStreams(5)
+f, d2 = load(Path("scenarios/stripped.toml")), random_streams.RandomStreams(5)
+nodes = fleet.build_nodes(f, d2)
+day = (workload.generate_orders(s, d, Path()), nodes,
+       faults.build_fault_schedule(f, d2, nodes, fleet.build_proxies(f, nodes)))
 print(hashlib.sha256(repr(day).encode()).hexdigest())
 """
 
@@ -96,8 +107,8 @@
 @pytest.mark.parametrize("dist", ["fixed", "exponential", "lognormal"])
 def test_work_has_the_mean_and_cv_asked_for(dist: Any) -> None:
     what = Work.model_validate({"mean": "20 ms", "dist": dist, "cv": 1.5})
-    rng = Draw(1).stream("work")
-    drawn = [work(what, rng) for _ in range(40_000)]
+    rng = RandomStreams(1).stream("work")
+    drawn = [sample_work(what, rng) for _ in range(40_000)]
     assert statistics.fmean(drawn) == pytest.approx(20_000, rel=0.02)
     cv = {"fixed": 0.0, "exponential": 1.0, "lognormal": 1.5}[dist]
     assert statistics.pstdev(drawn) / 20_000 == pytest.approx(cv, rel=0.04)
@@ -110,8 +121,8 @@
 def test_the_pareto_that_fits_the_draws_has_the_mean_and_cv_asked_for(cv: float) -> None:
     """By the shape that fits best, as a sample's cv hardly settles where the fourth moment is infinite."""
     what = Work.model_validate({"mean": "20 ms", "dist": "pareto", "cv": cv})
-    rng = Draw(1).stream("work")
-    drawn = [work(what, rng) for _ in range(40_000)]
+    rng = RandomStreams(1).stream("work")
+    drawn = [sample_work(what, rng) for _ in range(40_000)]
     least = min(drawn)
     fit = scipy.stats.pareto(len(drawn) / sum(math.log(us / least) for us in drawn), scale=least)
     assert fit.mean() == pytest.approx(20_000, rel=0.01)
@@ -140,21 +151,21 @@
     stream: dict[str, Any], start: int, length: int, seed: int
 ) -> None:
     day = scenario(arrivals=[stream | {"start": f"{start} s", "end": f"{start + length} s"}])
-    times = [arrival.at for arrival in arrivals(day, Draw(seed), HERE, 0)]
+    times = [arrival.at for arrival in generate_arrivals(day, RandomStreams(seed), HERE, 0)]
     assert times == sorted(times)
     assert all(start * S <= at < min(10, start + length) * S for at in times)
-    expected = offered(day)[0].mean * 10 / 0.03  # both classes alike: 30 ms of work an order
+    expected = offered_load(day)[0].mean * 10 / 0.03  # both classes alike: 30 ms of work an order
     chance = 5 * math.sqrt(expected) + 5 if stream["kind"] in ("poisson", "ramp") else 1
     assert abs(len(times) - expected) <= chance
 
 
 def test_a_ramp_rises_and_a_poisson_stream_scatters_as_it_should() -> None:
     ramp = scenario(arrivals=[{"kind": "ramp", "rate": "0/s", "to_rate": "400/s"}])
-    times = [arrival.at / S for arrival in arrivals(ramp, Draw(3), HERE, 0)]
+    times = [arrival.at / S for arrival in generate_arrivals(ramp, RandomStreams(3), HERE, 0)]
     squares = [t * t / 100 for t in times]  # as the expected count goes
     assert scipy.stats.kstest(squares, "uniform").pvalue > 0.001
     flat = scenario(arrivals=[{"kind": "poisson", "rate": "400/s"}])
-    gaps = [b.at - a.at for a, b in pairwise(arrivals(flat, Draw(3), HERE, 0))]
+    gaps = [b.at - a.at for a, b in pairwise(generate_arrivals(flat, RandomStreams(3), HERE, 0))]
     assert scipy.stats.kstest(gaps, "expon", args=(0, 2500)).pvalue > 0.001
 
 
@@ -165,8 +176,8 @@
         arrivals=[{"kind": "steady", "rate": "500/s", "tenants": ["big", "small"]}],
         **{"class": [LOOK | {"share": 3}, BUY]},
     )
-    made = orders(day, Draw(1), HERE)
-    drawn = zip(*((o.cls, o.tenant, o.honours) for o in made), strict=True)
+    made = generate_orders(day, RandomStreams(1), HERE)
+    drawn = zip(*((o.cls, o.tenant, o.honours_retry_after) for o in made), strict=True)
     assert [statistics.fmean(column) for column in drawn] == pytest.approx([0.25, 0.25, 0.25], abs=0.02)
     assert {o.tenant for o in made} == {0, 1}
     patience = [o.patience_us for o in made if o.cls == 1]
@@ -176,8 +187,8 @@
 
 def test_one_stream_of_arrivals_changes_nothing_in_another() -> None:
     burst = {"kind": "burst", "every": "1 s", "size": 3}
-    alone = orders(scenario(), Draw(1), HERE)
-    both = orders(scenario(arrivals=[POISSON, burst]), Draw(1), HERE)
+    alone = generate_orders(scenario(), RandomStreams(1), HERE)
+    both = generate_orders(scenario(arrivals=[POISSON, burst]), RandomStreams(1), HERE)
     all_of_it = {(o.at, o.seed, o.work_us) for o in both}
     assert len({o.seed for o in both}) == len(both) == len(alone) + 30
     assert all_of_it >= {(o.at, o.seed, o.work_us) for o in alone}
@@ -187,12 +198,12 @@
     day = scenario(arrivals=[{"kind": "trace", "file": "t.csv", "start": "1 s"}], tenant=[{"name": "big"}])
     file = tmp_path / "t.csv"
     file.write_text("# seconds,class,tenant\n2.5,buy,big\n\n0.25, look\n1\n9.5\n")
-    first, _, last = orders(day, Draw(1), tmp_path)
+    first, _, last = generate_orders(day, RandomStreams(1), tmp_path)
     assert (first.at, first.cls, last.at, last.cls) == (1_250_000, 0, 3_500_000, 1)
-    assert offered(day, tmp_path)[0].peak == pytest.approx(0.04)
+    assert offered_load(day, tmp_path)[0].peak == pytest.approx(0.04)
     file.write_text("1,buy\nsoon\n-1\n2,sell\n3,buy,small\n4,buy,big,red\n")
     with pytest.raises(ScenarioError) as answer:
-        orders(day, Draw(1), tmp_path)
+        generate_orders(day, RandomStreams(1), tmp_path)
     starts = [line.removeprefix(f"{file}: ").split(": ")[:2] for line in answer.value.lines]
     assert starts[:4] == [
         [f"line {n}", key] for n, key in enumerate(["seconds", "seconds", "class", "tenant"], 2)
@@ -200,7 +211,7 @@
     assert starts[4:] == [["line 6", "has more than three fields, seconds[,class[,tenant]]"]]
     file.write_bytes(b"1,\xff\n")
     with pytest.raises(ScenarioError, match=r"t\.csv: arrivals\.0\.file: cannot be read"):
-        orders(day, Draw(1), tmp_path)
+        generate_orders(day, RandomStreams(1), tmp_path)
 
 
 def test_calls_are_as_many_and_as_long_as_the_tiers_say() -> None:
@@ -237,22 +248,24 @@
         ("unheard", 1, {"base": "3 s"}, None),  # would come after the deadline
     ],
 )
-def test_what_a_client_does_after_a_try(end: End, cls: int, habits: dict[str, Any], wait: int | None) -> None:
+def test_what_a_client_does_after_a_try(
+    end: AttemptOutcome, cls: int, habits: dict[str, Any], wait: int | None
+) -> None:
     day = scenario(clients={"retries": 1, "backoff": "fixed", "base": "50 ms"} | habits)
     order = Order(0, 10 * S, cls, 0, 40_000, S, "honour" not in habits, 9)
     now = 11 * S + 500_000
-    again = after(day, order, 0, now, end, 300_000, Draw(1).stream("client"))
-    assert again == (None if wait is None else TryAgain(now + wait))
-    assert after(day, order, 1, now, end, 300_000, Draw(1).stream("client")) is None
+    again = next_retry(day, order, 0, now, end, 300_000, RandomStreams(1).stream("client"))
+    assert again == (None if wait is None else Retry(now + wait))
+    assert next_retry(day, order, 1, now, end, 300_000, RandomStreams(1).stream("client")) is None
 
 
 def test_patience_backoff_and_the_longest_retry_after() -> None:
     day = scenario(clients={"retries": 9, "base": "100 ms"}, proxy={"max_retry_after": "1 s"})
-    rng = Draw(1).stream("client")
-    waits = [x.at for _ in range(500) if (x := after(day, ORDER, 2, 0, "unheard", 0, rng))]
+    rng = RandomStreams(1).stream("client")
+    waits = [x.at for _ in range(500) if (x := next_retry(day, ORDER, 2, 0, "unheard", 0, rng))]
     assert 0 <= min(waits) < 10_000 and 390_000 < max(waits) <= 400_000
-    assert after(day, ORDER, 0, 10 * S, "refused", 9 * S, rng) == TryAgain(11 * S)
-    assert [until(day, ORDER, sent) for sent in (10 * S, 13 * S + 1)] == [11 * S, 14 * S]
+    assert next_retry(day, ORDER, 0, 10 * S, "refused", 9 * S, rng) == Retry(11 * S)
+    assert [attempt_timeout_at(day, ORDER, sent) for sent in (10 * S, 13 * S + 1)] == [11 * S, 14 * S]
 
 
 # ---------------------------------------------------------------- what stands there
@@ -262,8 +275,8 @@
     big = {"name": "big", "kind": [{"name": "many", "nodes": 10_000}]}
     more = {"name": "more", "kind": [{"name": "k", "nodes": 9996}]}
     day = scenario(tier=[FRONT | {"proxies": 9}, big, more])
-    nodes = fleet(day, Draw(1))
-    all_proxies = proxies(day, nodes)
+    nodes = build_nodes(day, RandomStreams(1))
+    all_proxies = build_proxies(day, nodes)
     machines = [(node.id, node.address) for node in nodes] + [(p.name, p.address) for p in all_proxies]
     assert len(nodes) == 20_000 and len(all_proxies) == 9 + 4 + 10_000
     assert len({name for name, _ in machines}) == len({address for _, address in machines}) == len(machines)
@@ -271,45 +284,51 @@
         first, *_, last = map(int, address.split("."))
         assert first == 127 and 1 <= last <= 254
     with pytest.raises(ScenarioError, match="tier: 20001 nodes, the plant holds 20000"):
-        fleet(scenario(tier=[big, more, FRONT | {"kind": [{"name": "std", "nodes": 5}]}]), Draw(1))
+        build_nodes(
+            scenario(tier=[big, more, FRONT | {"kind": [{"name": "std", "nodes": 5}]}]), RandomStreams(1)
+        )
 
 
 def test_fleet_and_proxies_of_two_tiers() -> None:
     day = scenario(tier=TIERS)
-    nodes = fleet(day, Draw(1))
+    nodes = build_nodes(day, RandomStreams(1))
     assert [node.id for node in nodes][2:5] == ["s-front-3", "s-jobs-1", "s-jobs-2"]
     assert [node.kind.name for node in nodes[3:]] == ["a", "a", "b", "b", "b"]
     speeds = [node.speed for node in nodes[:3]]
     assert len(set(speeds)) == 3 and all(0.5 <= speed <= 1.5 for speed in speeds)
-    seen = [(p.name, p.tier, p.me, p.siblings, p.owner) for p in proxies(day, nodes)]
+    seen = [(p.name, p.tier, p.index, p.sibling_count, p.owner_node) for p in build_proxies(day, nodes)]
     assert seen[0] == ("p-front-1", 0, 0, 2, "") and seen[-1] == ("p-jobs-3", 1, 2, 3, "s-front-3")
     new = replacement(replacement(nodes[3], 1), 2)
-    assert (new.id, new.place, new.address) == ("s-jobs-1-r2", "s-jobs-1", nodes[3].address)
+    assert (new.id, new.original_id, new.address) == ("s-jobs-1-r2", "s-jobs-1", nodes[3].address)
 
 
 def test_capacity_multiplies_calls_down_the_tiers_and_names_what_cannot_be_carried() -> None:
     ramp = {"kind": "ramp", "rate": "0/s", "to_rate": "100/s"}
     press = {"name": "press", "kind": [{"name": "p", "nodes": 1}]}
-    front, jobs, presses = offered(scenario(tier=[TIERS[0], TIERS[1] | {"calls": 4}, press], arrivals=[ramp]))
+    front, jobs, presses = offered_load(
+        scenario(tier=[TIERS[0], TIERS[1] | {"calls": 4}, press], arrivals=[ramp])
+    )
     assert (front.mean, front.peak, front.capacity) == pytest.approx((0.75, 0.5 * 95 * 0.03, 3.0))
     assert (jobs.mean, jobs.capacity, presses.mean) == pytest.approx((1.5 * 2.5 * 2, 11.0, 1.5 * 2.5 * 4))
     heavy: dict[str, Any] = {"tier": TIERS, "arrivals": [POISSON | {"rate": "90/s"}]}
-    (line,) = problems(scenario(**heavy))
+    (line,) = overload_errors(scenario(**heavy))
     assert line.startswith("tier.1: 'jobs' is asked for 13.50 s of work") and "11.00 (123%)" in line
-    assert problems(scenario(**heavy, scenario={"name": "x", "duration": "9 s", "overload": True})) == []
+    assert (
+        overload_errors(scenario(**heavy, scenario={"name": "x", "duration": "9 s", "overload": True})) == []
+    )
 
 
 # ---------------------------------------------------------------- what goes wrong
 
 
-def changes(*faults: dict[str, Any], seed: int = 1) -> list[Change]:
+def changes(*faults: dict[str, Any], seed: int = 1) -> list[FaultEvent]:
     day = scenario(tier=TIERS, fault=list(faults))
-    nodes = fleet(day, Draw(seed))
-    return schedule(day, Draw(seed), nodes, proxies(day, nodes))
+    nodes = build_nodes(day, RandomStreams(seed))
+    return build_fault_schedule(day, RandomStreams(seed), nodes, build_proxies(day, nodes))
 
 
 def played(*faults: dict[str, Any]) -> list[tuple[float, str, bool, int]]:
-    return [(c.at / S, c.kind, c.begins, len(c.targets)) for c in changes(*faults)]
+    return [(c.at / S, c.kind, c.is_start, len(c.targets)) for c in changes(*faults)]
 
 
 def test_compound_faults_come_apart_into_what_engines_carry_out() -> None:
@@ -345,11 +364,11 @@
 
 def test_every_target_that_is_not_there_is_named() -> None:
     lost = scenario(fault=[{"kind": "kill", "tier": "front", "names": ["s-front-9"]}])
-    assert wrong(lost, HERE) == [
+    assert find_errors(lost, HERE) == [
         "fault.0.names: no node of tier 'front' is named 's-front-9'; they are s-front-1 to s-front-4"
     ]
     crowd = scenario(arrivals=[POISSON | {"rate": "200000/s"}])
-    assert [line.partition(": ")[0] for line in wrong(crowd, HERE)] == ["tier.0", "arrivals"]
+    assert [line.partition(": ")[0] for line in find_errors(crowd, HERE)] == ["tier.0", "arrivals"]
     lasting = {"kind": "freeze", "name": "ice", "tier": "front", "nodes": 1}
     with pytest.raises(ScenarioError) as answer:
         changes(
@@ -374,7 +393,7 @@
         return {"kind": kind, "name": name, "tier": "jobs", "names": ["s-jobs-1"]} | when | more
 
     day = scenario(tier=TIERS)
-    standing, seen = Standing(day), []
+    standing, seen = ActiveFaults(day), []
     for change in changes(
         on("slow", "a", 1, 9, factor=2),
         on("slow", "b", 2, 1, factor=3),
@@ -384,14 +403,16 @@
         on("freeze", "f", 5, 1),
         on("black-hole", "g", 5, 2),
     ):
-        standing.note(change)
-        seen.append((change.at // S, standing.of("s-jobs-1"), standing.cut("s-jobs-1")))
+        standing.apply(change)
+        seen.append(
+            (change.at // S, standing.conditions_for("s-jobs-1"), standing.is_black_holed("s-jobs-1"))
+        )
     last = {at: (found["slow"], found["errors"], found["frozen"], cut) for at, found, cut in seen}
     assert (last[2], last[3]) == ((6, 0.5, False, False), (2, 0.5, False, False))
     assert (last[5], last[6]) == ((2, 0.75, True, True), (2, 0.5, False, True))
     assert [found["tail"] for at, found, _ in seen if at == 4][-1] == (0.1, 20, 1)
     well = {"slow": 1.0, "errors": 0.0, "frozen": False, "strip": False, "tail": (0.0, 1.0, None)}
-    assert (seen[-1][1], seen[-1][2]) == (well, False) and standing.of("s-jobs-2") == well
+    assert (seen[-1][1], seen[-1][2]) == (well, False) and standing.conditions_for("s-jobs-2") == well
 
 
 # ---------------------------------------------------------------- what a proxy is told
@@ -405,14 +426,18 @@
                "sockets": 500, "memory_mb": 99, "idle_close": "7 s", "over_share_worth": 0.3, "tick": "2 ms"},
         rules={"ask_every": "5 s", "fall_multiple": 2.5, "drain_grace": "2 s"},
     )  # fmt: skip
-    nodes = fleet(day, Draw(1))
-    proxy = proxies(day, nodes)[3]
-    members = [papers.member(node, f"{node.address}:80", "SERVING", 0) for node in nodes if node.tier == 1]
+    nodes = build_nodes(day, RandomStreams(1))
+    proxy = build_proxies(day, nodes)[3]
+    members = [
+        papers.member_entry(node, f"{node.address}:80", "SERVING", 0) for node in nodes if node.tier == 1
+    ]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(papers.config(day, proxy, "127.128.0.4:0", "127.0.0.1:99", members, "8c1f")))
+    path.write_text(
+        json.dumps(papers.build_config(day, proxy, "127.128.0.4:0", "127.0.0.1:99", members, "8c1f"))
+    )
     read = proxy_reads({"EDGE_CONFIG": str(path)})
     assert (read.name, read.listen, read.seed) == (proxy.name, ("127.128.0.4", 0), 0x8C1F)
-    assert (read.memory_mb, read.sockets, read.max_open, read.idle_us) == (99, 500, 77, 7 * S)
+    assert (read.memory_mb, read.sockets, read.max_open, read.conn_idle_us) == (99, 500, 77, 7 * S)
     assert (read.kinds, read.zones) == ({"a": 0, "b": 1}, {papers.ROOM: 0})
     assert (read.classes, read.accounts) == ({"look": 0, "buy": 1}, {"big": 0, "small": 1})
     buy = ServiceClass("buy", Effect.UNSAFE, Scope.CELL, 0, 2_500_000, 4 * S, 1.0, 0.0, False)
@@ -426,4 +451,4 @@
         report_columns=("qps", "util"), answer_slack_us=50_000, drain_grace_us=2 * S, ask_every_us=5 * S,
         cold_from=0.3, warm_after_us=9 * S, fall_multiple=2.5, tip_after_us=1_500_000,
     )  # fmt: skip
-    assert papers.settings(scenario(), proxies(scenario(), nodes)[0])["tenants"] == []
+    assert papers.build_settings(scenario(), build_proxies(scenario(), nodes)[0])["tenants"] == []
--- a/tests/lab/test_registry.py
+++ b/tests/lab/test_registry.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from slatelab.plant import registry as machine
-from slatelab.plant.registry import Answer, Registry, Shown
+from slatelab.plant.registry import Registry, RegistryEntry, RegistryResponse
 from slatelab.scenario import parse
 
 MS, S = 1_000, 1_000_000
@@ -24,40 +24,40 @@
         "class": [{"name": "a", "work": {"mean": "10 ms"}}], "discovery": discovery, "tier": tiers,
     }), 0)  # fmt: skip
     for n in range(2):
-        made.set(0, f"s-{n}", "SERVING", 0, "127.16.0.9:80", 0)
+        made.set_node(0, f"s-{n}", "SERVING", 0, "127.16.0.9:80", 0)
     return made
 
 
-def play(reg: Registry, until: int) -> list[tuple[int, Answer]]:
+def play(reg: Registry, until: int) -> list[tuple[int, RegistryResponse]]:
     heard = []
-    while (due := reg.due()) is not None and due <= until:
+    while (due := reg.next_event_time()) is not None and due <= until:
         heard += [(due, answer) for answer in reg.advance(due)]
     return heard
 
 
 def test_a_watch_hears_of_its_tier_ends_empty_and_gets_all_where_it_knows_another_history() -> None:
     reg = registry()
-    reg.ask(0, "p", 0, None, 0, 1)
+    reg.receive_call(0, "p", 0, None, 0, 1)
     [(at, whole)] = play(reg, S)
     assert at == MS and whole.complete and [shown.node for shown in whole.entries] == ["s-0", "s-1"]
-    reg.ask(S, "p", 0, whole.revision, 90 * S, 2)
-    reg.set(2 * S, "b-0", "SERVING", 1, "127.16.1.0:80", 0)
-    assert play(reg, 100 * S) == [(61 * S, Answer(2, "p", 200, whole.revision, False, ()))]
+    reg.receive_call(S, "p", 0, whole.revision, 90 * S, 2)
+    reg.set_node(2 * S, "b-0", "SERVING", 1, "127.16.1.0:80", 0)
+    assert play(reg, 100 * S) == [(61 * S, RegistryResponse(2, "p", 200, whole.revision, False, ()))]
     for ticket, since in enumerate((whole.revision + 1, 0), 3):
-        reg.ask(100 * S, "p", 0, since, 20 * S, ticket)
+        reg.receive_call(100 * S, "p", 0, since, 20 * S, ticket)
     assert [(all_.complete, all_.entries) for _, all_ in play(reg, 101 * S)] == [(True, whole.entries)] * 2
 
 
 def test_calls_wait_in_turn_and_fail_when_that_takes_too_long_or_too_many_wait() -> None:
     reg = registry(capacity="3/s")
-    for ticket in range(machine.MOST + 1):
-        reg.ask(0, "p", 0, None, 0, ticket)
-    assert [(answer.ticket, answer.status) for answer in reg.advance(0)] == [(machine.MOST, 503)]
+    for ticket in range(machine.MAX_OPEN_CALLS + 1):
+        reg.receive_call(0, "p", 0, None, 0, ticket)
+    assert [(answer.call_id, answer.status) for answer in reg.advance(0)] == [(machine.MAX_OPEN_CALLS, 503)]
     with pytest.raises(ValueError, match="ticket 5 is in use"):
-        reg.ask(0, "p", 0, None, 0, 5)
-    for ticket in (1, *range(6, machine.MOST)):
-        reg.forget(ticket)
-    heard = [(at, answer.ticket, answer.status) for at, answer in play(reg, 9 * S)]
+        reg.receive_call(0, "p", 0, None, 0, 5)
+    for ticket in (1, *range(6, machine.MAX_OPEN_CALLS)):
+        reg.cancel_call(ticket)
+    heard = [(at, answer.call_id, answer.status) for at, answer in play(reg, 9 * S)]
     assert heard == [(MS, 0, 200), (334_334, 2, 200), (667_667, 3, 200), (S, 5, 503), (S + MS, 4, 200)]
 
 
@@ -77,31 +77,31 @@
 
     def __init__(self, crowded: bool) -> None:
         self.reg = registry(delay="1 ms", **({"capacity": "400/s", "timeout": "4 ms"} if crowded else {}))
-        self.sets = [(0, Shown(node, "SERVING", "127.16.0.9:80", 0)) for node in NODES[:2]]
+        self.sets = [(0, RegistryEntry(node, "SERVING", "127.16.0.9:80", 0)) for node in NODES[:2]]
         self.now, self.revision, self.tickets, self.out, self.is_down = 0, 0, count(), -1, False
         self.lied: tuple[str, ...] = ()
-        self.knows: dict[str, Shown] = {}
+        self.knows: dict[str, RegistryEntry] = {}
 
-    def truth(self) -> dict[str, Shown]:
+    def truth(self) -> dict[str, RegistryEntry]:
         """What is to be shown now."""
         shown = {new.node: new for at, new in self.sets if at <= self.now}
         return {n: new for n, new in shown.items() if new.phase != "DELETED" and n not in self.lied}
 
     def ask(self) -> None:
         self.out = next(self.tickets)
-        self.reg.ask(self.now, "p", 0, self.revision or None, 20 * S, self.out)
+        self.reg.receive_call(self.now, "p", 0, self.revision or None, 20 * S, self.out)
 
     def wait(self, span: int) -> None:
         end = self.now + span
-        while (due := self.reg.due()) is not None and due <= end:
+        while (due := self.reg.next_event_time()) is not None and due <= end:
             self.now = due
             for answer in self.reg.advance(due):
                 self.hear(answer)
         self.now = end
         assert span < 900 * MS or self.is_down or self.knows == self.truth()
 
-    def hear(self, answer: Answer) -> None:
-        assert answer.ticket == self.out and (answer.status == 503 or answer.revision >= self.revision)
+    def hear(self, answer: RegistryResponse) -> None:
+        assert answer.call_id == self.out and (answer.status == 503 or answer.revision >= self.revision)
         self.out = -1
         if answer.status == 200:
             assert not self.is_down
@@ -115,8 +115,8 @@
             self.ask()
 
     def put(self, node: str, phase: str) -> None:
-        new = Shown(node, phase, "127.16.0.9:80", self.now)
-        self.reg.set(self.now, node, phase, 0, new.host_port, self.now)
+        new = RegistryEntry(node, phase, "127.16.0.9:80", self.now)
+        self.reg.set_node(self.now, node, phase, 0, new.host_port, self.now)
         self.sets.append((self.now + MS * (self.now > 0), new))
 
     def outage(self, puts: list[tuple[str, str]]) -> None:
@@ -128,17 +128,19 @@
 
     def down(self, yes: bool) -> None:
         self.is_down = yes
-        if broken := self.reg.down(self.now, yes):
+        if broken := self.reg.set_down(self.now, yes):
             assert yes and broken == [self.out]
             self.out = -1
-        assert not yes or self.out < 0 or self.reg.due() == self.now  # nothing is left open but a 503
+        assert (
+            not yes or self.out < 0 or self.reg.next_event_time() == self.now
+        )  # nothing is left open but a 503
 
     def lie(self, gone: tuple[str, ...]) -> None:
-        self.reg.lie(self.now, 0, gone)
+        self.reg.set_false_deletions(self.now, 0, gone)
         self.lied = gone
 
     def hang_up(self) -> None:
-        self.reg.forget(self.out)
+        self.reg.cancel_call(self.out)
         self.out = -1
 
 
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -15,33 +15,35 @@
 from PIL import Image
 
 from slatelab import results
-from slatelab.engine import Tick
-from slatelab.experiments.run import Job, play
-from slatelab.report import live, page, plots, view
+from slatelab.engine import ProgressSnapshot
+from slatelab.experiments.run import Job, run_with_records
+from slatelab.report import page, plots, progress, view
 
 
 @pytest.fixture
 def result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> results.Result:
     """A day on which a rule was broken and a proxy logged what looks like a script."""
     fake_engine.install(monkeypatch)
-    return play(Job(fake_engine.write(tmp_path), seed=1, changes=(("proxy.attempts", 2),))).result
+    return run_with_records(
+        Job(fake_engine.write(tmp_path), seed=1, overrides=(("proxy.attempts", 2),))
+    ).result
 
 
 def test_the_page_needs_nothing_else_and_tells_the_broken_rule(
     result: results.Result, tmp_path: Path
 ) -> None:
-    path = page.write([(tmp_path, result)], tmp_path / "report")
+    path = page.write_report([(tmp_path, result)], tmp_path / "report")
     text = path.read_text()
     assert not re.search(r"https?:|<script|<link|@import|url\(", text)
     assert all(one.startswith("data:image/png;base64,") for one in re.findall(r'(?:src|href)="([^"]*)', text))
     assert "Rules broken: 1 times" in text and "answered-once o7.0" in text and "700.000  Asked" in text
     assert "&lt;script&gt;alert(1)" in text and "end of slow" in text
-    assert text.count("<img ") == len(plots.PICTURES) == len(list((tmp_path / "report").glob("*.png")))
+    assert text.count("<img ") == len(plots.PLOTS) == len(list((tmp_path / "report").glob("*.png")))
 
 
 def test_pictures_hold_a_picture(result: results.Result, tmp_path: Path) -> None:
-    seen = view.view(result, view.figures(result, tmp_path))
-    for name, (_, draw) in plots.PICTURES.items():
+    seen = view.build_view(result, view.load_figures(result, tmp_path))
+    for name, (_, draw) in plots.PLOTS.items():
         for sides in (1, 2):
             image = Image.open(io.BytesIO(draw([seen] * sides, ["a", "b"][:sides])))
             colours = image.convert("RGB").getcolors(1 << 24) or []
@@ -50,25 +52,27 @@
 
 def test_a_day_without_any_order_can_be_drawn(result: results.Result, tmp_path: Path) -> None:
     """Nothing served, no node heard of: no curve, no bar, an empty map."""
-    seen = view.view(result, view.figures(result, tmp_path))
+    seen = view.build_view(result, view.load_figures(result, tmp_path))
     bare = replace(seen, curves={}, nodes=[], work=[], held=[], attempts=[], spells=[], goodput=[None] * 10)
-    for _, draw in plots.PICTURES.values():
+    for _, draw in plots.PLOTS.values():
         assert draw([bare], [""]).startswith(b"\x89PNG")
 
 
 def test_two_results_show_their_differences(
     result: results.Result, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    slower = play(Job(fake_engine.write(tmp_path), seed=1, changes=(("proxy.attempts", 1),))).result
-    text = page.write([(tmp_path, slower), (tmp_path, result)], tmp_path / "two").read_text()
+    slower = run_with_records(
+        Job(fake_engine.write(tmp_path), seed=1, overrides=(("proxy.attempts", 1),))
+    ).result
+    text = page.write_report([(tmp_path, slower), (tmp_path, result)], tmp_path / "two").read_text()
     row = re.search(r"<tr><td>p50 \(ms\)</td>(.*?)</tr>", text)
     assert row and re.search(r'class="n better">-30.\d+ better', row[1])
     assert "A No rule was broken" in text and "B Rules broken" in text
 
 
 def test_figures_of_another_version_are_refused(result: results.Result, tmp_path: Path) -> None:
-    with pytest.raises(results.Unreadable, match="figures"):
-        page.write(
+    with pytest.raises(results.ResultReadError, match="figures"):
+        page.write_report(
             [(tmp_path, msgspec.structs.replace(result, figures={"goodput": "high"}))], tmp_path / "report"
         )
 
@@ -76,11 +80,11 @@
 def test_a_long_timeline_is_cut_but_keeps_the_faults(result: results.Result) -> None:
     lines = [results.Line(i, "p", "info", "t", "x") for i in range(400)]
     events, total = page.timeline(msgspec.structs.replace(result, log=lines, log_lines=9000))
-    assert len(events) == page.EVENTS and total == 9002 and sum(event.fault for event in events) == 2
+    assert len(events) == page.MAX_EVENTS and total == 9002 and sum(event.fault for event in events) == 2
 
 
 def test_the_latency_curve_is_the_histogram(result: results.Result, tmp_path: Path) -> None:
-    latency = view.figures(result, tmp_path).latency
+    latency = view.load_figures(result, tmp_path).latency
     points = view.curve(latency)
     for share, ms in ((0.5, latency.p50), (0.9, latency.p90)):
         after = next(value for at, value in points if at >= share - 1e-9)
@@ -89,18 +93,18 @@
 
 
 def test_the_live_window_forgets_and_the_plain_line_comes_once_a_second() -> None:
-    window = live.Window()
+    window = progress.SlidingWindow()
     for second in range(60):
         old = 900_000 if second < 50 else 10_000
-        window.add(Tick(second * 1_000_000, 60_000_000, second * 7, latencies_us=(old, old)))
-    assert window.now() == live.Now(7.0, 10.0, 10.0)
+        window.add(ProgressSnapshot(second * 1_000_000, 60_000_000, second * 7, latencies_us=(old, old)))
+    assert window.stats() == progress.WindowStats(7.0, 10.0, 10.0)
     out, at = io.StringIO(), 0.0
-    with live.shown("day", out=out) as watch:
-        assert isinstance(watch, live._Paced)
+    with progress.progress_display("day", out=out) as watch:
+        assert isinstance(watch, progress._RateLimitedOutput)
         watch._clock = lambda: at
         for _ in range(20):
             at += 0.25
-            watch(Tick(1_000_000, 2_000_000, 5, nodes=(("s-1", "down", 0),)))
+            watch(ProgressSnapshot(1_000_000, 2_000_000, 5, nodes=(("s-1", "down", 0),)))
     assert len(out.getvalue().splitlines()) == 5 and "nodes 1, 1 not as usual" in out.getvalue()
 
 
@@ -110,7 +114,7 @@
     nodes = tuple((f"s-{i}", "warm", i) for i in range(40)) + (("s-[red]x", "down", 0),)
     out: Any = io.StringIO()
     Console(file=out, width=100).print(
-        live.table(Tick(1, 2, 5, nodes=nodes), live.Now(1.0, None, 2.0), "day")
+        progress.table(ProgressSnapshot(1, 2, 5, nodes=nodes), progress.WindowStats(1.0, None, 2.0), "day")
     )
     text = out.getvalue()
     assert "s-[red]x" in text and "s-39" in text and "and 25 more" in text and "s-3 " not in text
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -13,14 +13,14 @@
 from hypothesis import strategies as st
 from pydantic import BaseModel
 
-from slatelab.plant.capacity import offered
-from slatelab.plant.check import wrong
-from slatelab.plant.draw import Draw
-from slatelab.plant.faults import schedule
-from slatelab.plant.fleet import fleet, proxies
-from slatelab.plant.workload import orders
+from slatelab.plant.capacity import offered_load
+from slatelab.plant.check import find_errors
+from slatelab.plant.faults import build_fault_schedule
+from slatelab.plant.fleet import build_nodes, build_proxies
+from slatelab.plant.random_streams import RandomStreams
+from slatelab.plant.workload import generate_orders
 from slatelab.scenario import Scenario, ScenarioError, load, parse
-from slatelab.scenario.types import FAULTS
+from slatelab.scenario.types import FAULT_KINDS
 
 FOLDER = Path(__file__).parents[2] / "scenarios"
 FILES = sorted(FOLDER.glob("*.toml"))
@@ -160,20 +160,23 @@
     scenario = load(path)
     assert scenario.scenario.name == path.stem
     assert path.read_text().startswith("# ") and "shows:" in path.read_text().partition("[scenario]")[0]
-    assert wrong(scenario, FOLDER) == []
-    draw = Draw(scenario.scenario.seed)
-    nodes = fleet(scenario, draw)
-    before = proxies(scenario, nodes)
+    assert find_errors(scenario, FOLDER) == []
+    draw = RandomStreams(scenario.scenario.seed)
+    nodes = build_nodes(scenario, draw)
+    before = build_proxies(scenario, nodes)
     last = max(
-        (change.at for change in schedule(scenario, draw, nodes, before) if not change.begins), default=0
+        (change.at for change in build_fault_schedule(scenario, draw, nodes, before) if not change.is_start),
+        default=0,
     )
     assert last <= scenario.scenario.duration
     seconds = scenario.scenario.duration / 1e6
-    busiest = max(load.peak / load.capacity for load in offered(scenario))
+    busiest = max(load.peak / load.capacity for load in offered_load(scenario))
     if path.stem == "hundred-proxies":
-        assert (len(nodes), len(before)) == (1000, 100) and len(orders(scenario, draw, FOLDER)) <= 20_000
+        assert (len(nodes), len(before)) == (1000, 100) and len(
+            generate_orders(scenario, draw, FOLDER)
+        ) <= 20_000
     else:  # modest enough for the live engine on eight cores
-        rate = len(orders(scenario, draw, FOLDER)) / seconds
+        rate = len(generate_orders(scenario, draw, FOLDER)) / seconds
         assert 15 <= seconds <= 45 and rate <= 320 and len(before) <= 10
     beyond = ("flash-crowd", "one-loud", "storm-tenant")
     assert (busiest > 1) == (path.stem in beyond)  # the others peak within what nodes can do
@@ -193,7 +196,7 @@
     _, example_text, rest = re.split(r"```(?:toml)?\n", text)
     words = set(re.findall(r"[a-z_]+", " ".join(re.findall(r"`[^`]+`", rest))))
     assert _keys(Scenario) - words == set() and len(_keys(Scenario)) > 80
-    assert [kind for kind in FAULTS if f'| `"{kind}"` |' not in text] == []
+    assert [kind for kind in FAULT_KINDS if f'| `"{kind}"` |' not in text] == []
     example = parse(tomllib.loads(example_text))
-    assert wrong(example, FOLDER) == []
-    assert [load.mean for load in offered(example)] == pytest.approx([0.75, 0.9])
+    assert find_errors(example, FOLDER) == []
+    assert [load.mean for load in offered_load(example)] == pytest.approx([0.75, 0.9])
--- a/tests/lab/test_storms.py
+++ b/tests/lab/test_storms.py
@@ -85,8 +85,8 @@
 
 def test_no_order_that_must_not_run_twice_does() -> None:
     records = day("storm-unsafe")
-    began = Counter(r.order_of(fact.request) for fact in records if isinstance(fact, r.Began))
-    tries = Counter(r.order_of(fact.request) for fact in records if isinstance(fact, r.Asked))
+    began = Counter(r.order_id(fact.request) for fact in records if isinstance(fact, r.Began))
+    tries = Counter(r.order_id(fact.request) for fact in records if isinstance(fact, r.Asked))
     assert max(tries.values()) > 1 and len(began) > 1000
     assert [order for order, times in began.items() if times > 1] == []
 
--- a/tests/plant.py
+++ b/tests/proxy_rig.py
@@ -20,7 +20,7 @@
 from audit import Audit
 
 ROOT = Path(__file__).parents[1]
-LOOK, BUY = "job-status", "order-place"
+SAFE_CLASS, UNSAFE_CLASS = "job-status", "order-place"
 
 
 def settings(**allowed: Any) -> dict[str, Any]:
@@ -31,7 +31,7 @@
         "allowed": {"max_attempts": 4, "may_cancel": True, "may_duplicate": False, "conn_idle_us": 30000000,
                     "connect_timeout_us": 1000000, "probing": True, "retry_after": True,
                     "peer_messages": False, **allowed},
-        "services": [kind(LOOK, "retryable"), kind(BUY, "fragile")],
+        "services": [kind(SAFE_CLASS, "retryable"), kind(UNSAFE_CLASS, "fragile")],
         "tenants": [{"name": "cantina etna", "share": 1.0, "allowance_per_s": 900.0}],
         "obligations": {"answer_slack_us": 20000, "ask_every_us": 2000000, "cold_from": 0.3, "drain_grace_us": 2500000,
                         "fall_multiple": 3.0, "tip_after_us": 1500000, "warm_after_us": 0},
@@ -41,11 +41,11 @@
     }  # fmt: skip
 
 
-class Peer:
+class ScriptedServer:
     """A listener on port 0; each connection gets a thread."""
 
     def __init__(self) -> None:
-        self.seen: list[str] = []  # whole requests, in order
+        self.requests: list[str] = []  # whole requests, in order
         self.connections = 0
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
@@ -65,15 +65,15 @@
             try:
                 while head := read_head(conn):
                     body = bytearray()
-                    while len(body) < int(field(head, "content-length") or 0):
+                    while len(body) < int(header_value(head, "content-length") or 0):
                         body += conn.recv(65536)
-                    self.seen.append(head + body.decode("latin-1"))
-                    if not self.reply(conn, head, bytes(body)):
+                    self.requests.append(head + body.decode("latin-1"))
+                    if not self.respond(conn, head, bytes(body)):
                         return
             except OSError:
                 pass
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         raise NotImplementedError
 
 
@@ -87,7 +87,7 @@
     return data.decode()
 
 
-def field(head: str, name: str) -> str:
+def header_value(head: str, name: str) -> str:
     for line in head.split("\r\n")[1:]:
         key, _, value = line.partition(":")
         if key.lower() == name:
@@ -141,30 +141,30 @@
 TURNED, SPOILT = ("full", "over"), ("reset", "half", "garbage", "two-framings", "silent")
 
 
-class Node(Peer):
+class ScriptedNode(ScriptedServer):
     """`audit`: who is told what comes and what is answered."""
 
     audit: Audit | None = None
 
     def __init__(self) -> None:
         super().__init__()
-        self.go = threading.Event()  # lets what is asked to wait go on
-        self.waiting = threading.Semaphore(0)
-        self.left = threading.Semaphore(0)  # a waiting request's connection was closed
+        self.release = threading.Event()  # lets what is asked to wait go on
+        self.held = threading.Semaphore(0)
+        self.disconnected = threading.Semaphore(0)  # a waiting request's connection was closed
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         action = head.split(" ")[1].partition("?")[0].rpartition("/")[2]
-        request = field(head, "x-request-id")
+        request = header_value(head, "x-request-id")
         if self.audit:
             self.audit.came(now_us(), self.address, request)
         if action == "silent":
-            self.waiting.release()
+            self.held.release()
             if not conn.recv(1):
-                self.left.release()
+                self.disconnected.release()
             return False
         if action == "wait":
-            self.waiting.release()
-            self.go.wait(20)
+            self.held.release()
+            self.release.wait(20)
             action = "ok"
         if self.audit and action not in SPOILT:
             data = body if action == "echo" else SCRIPT[action][0]
@@ -180,26 +180,28 @@
         return keep
 
 
-class Discovery(Peer):
-    """Answers the first call with its list; a watch waits for `tell`."""
+class ScriptedDiscovery(ScriptedServer):
+    """Answers the first call with its list; a watch waits for `push`."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.news: list[bytes] = []
         self.more = threading.Condition()
         self.revision = 1
-        self.tell(members, True)
+        self.push(members, True)
         super().__init__()
 
-    def tell(self, members: list[dict[str, Any]], complete: bool = False) -> None:
-        self.raw(json.dumps({"revision": self.revision, "complete": complete, "members": members}).encode())
+    def push(self, members: list[dict[str, Any]], complete: bool = False) -> None:
+        self.push_raw(
+            json.dumps({"revision": self.revision, "complete": complete, "members": members}).encode()
+        )
         self.revision += 1
 
-    def raw(self, body: bytes, status: bytes = b"200 OK") -> None:
+    def push_raw(self, body: bytes, status: bytes = b"200 OK") -> None:
         with self.more:
             self.news.append(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body)
             self.more.notify()
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         with self.more:
             while not self.news:
                 self.more.wait()
@@ -207,12 +209,12 @@
         return True
 
 
-def member(node: str, address: str, phase: str = "SERVING") -> dict[str, Any]:
+def node_entry(node: str, address: str, phase: str = "SERVING") -> dict[str, Any]:
     return {"id": node, "host_port": address, "locality": "sala-macchine", "flavor": "front-std", "cell": 0,
             "phase": phase, "size": 1.0, "up_since_ms": 0}  # fmt: skip
 
 
-class Program:
+class ProxyProcess:
     """`slatehub serve` as a process. `own`: the operator's file; `code`: Python to run before it; `popen`: how to start
     it where its log is not to be read here."""
 
@@ -236,13 +238,13 @@
         start = ["-c", run] if code else ["-m", "slatehub", "serve"]
         popen = {"stderr": subprocess.PIPE} if popen is None else popen
         self.log: list[str] = []
-        self.ending = False  # whoever loses a connection from now on has lost it to the test's end
-        self.asked: list[tuple[int, bytes]] = []
+        self.stopping = False  # whoever loses a connection from now on has lost it to the test's end
+        self.sent: list[tuple[int, bytes]] = []
         self.answered: list[tuple[int, bytes, int, bytes]] = []
         self.process = subprocess.Popen([sys.executable, "-B", *start], cwd=ROOT, text=True, env=env, **popen)
         if not self.process.stderr:
             host, _, port = tree["listen"].rpartition(":")
-            self.peer = (host, int(port))
+            self.address = (host, int(port))
             return
         line = ""
         for line in self.process.stderr:
@@ -250,40 +252,40 @@
                 break
             self.log.append(line)
         host, _, port = line.partition(" listens on ")[2].split(",")[0].rpartition(":")
-        self.peer = (host, int(port))
+        self.address = (host, int(port))
         threading.Thread(target=self.log.extend, args=(self.process.stderr,), daemon=True).start()
 
     @property
-    def mgmt(self) -> tuple[str, int]:
+    def management_address(self) -> tuple[str, int]:
         """Where operators call."""
         place = next(x for x in self.log if "operators call at " in x).partition("operators call at ")[2]
         host, _, port = place.split('"')[0].rpartition(":")
         return host, int(port)
 
-    def call(self, method: str, path: str, raw: bytes = b"") -> int:
+    def management_call(self, method: str, path: str, raw: bytes = b"") -> int:
         """The status of one call at the operators' address."""
-        with socket.create_connection(self.mgmt, 30) as conn:
+        with socket.create_connection(self.management_address, 30) as conn:
             conn.sendall(raw or f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
-            return answer(conn)[0]
+            return read_response(conn)[0]
 
     def connect(self) -> socket.socket:
-        return socket.create_connection(self.peer, 30)
+        return socket.create_connection(self.address, 30)
 
-    def ask(self, data: bytes) -> tuple[int, str, bytes]:
+    def request(self, data: bytes) -> tuple[int, str, bytes]:
         with self.connect() as conn:
-            self.asked.append((now_us(), data))
+            self.sent.append((now_us(), data))
             try:
                 conn.sendall(data)
-                found = answer(conn)
+                found = read_response(conn)
             except OSError:
-                if not self.ending:
+                if not self.stopping:
                     self.answered.append((now_us(), data, 0, b""))
                 raise
             self.answered.append((now_us(), data, found[0], found[2]))
             return found
 
 
-def until(true: Callable[[], Any]) -> Any:
+def wait_until(true: Callable[[], Any]) -> Any:
     """Waits for what it names; returns it."""
     end = time.monotonic() + 20
     while not (found := true()):
@@ -292,12 +294,12 @@
     return found
 
 
-def answer(conn: socket.socket) -> tuple[int, str, bytes]:
+def read_response(conn: socket.socket) -> tuple[int, str, bytes]:
     """Status, head and body of one answer."""
     head = read_head(conn)
     if not head:
         raise ConnectionError("no answer")
-    body, size = b"", int(field(head, "content-length"))
+    body, size = b"", int(header_value(head, "content-length"))
     while len(body) < size:
         body += conn.recv(size - len(body))
     return int(head.split(" ")[1]), head, body
@@ -307,10 +309,12 @@
 issued: Counter[str] = Counter()  # ids that a test has used more than once tell nothing
 
 
-def order(action: str, cls: str = BUY, body: bytes = b"", method: str = "", **headers: str) -> bytes:
+def build_request(
+    action: str, cls: str = UNSAFE_CLASS, body: bytes = b"", method: str = "", **headers: str
+) -> bytes:
     global count
     count += 1
-    method = method or ("GET" if cls == LOOK else "POST")
+    method = method or ("GET" if cls == SAFE_CLASS else "POST")
     fields = {"Host": "app.svc", "X-Request-ID": f"id{count}", "X-Priority-Class": cls, "X-Tenant-Id": "cantina etna",
               "X-Timeout": "20000m"}  # fmt: skip
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -321,22 +325,24 @@
     return f"{method} /{cls}/{action} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
-class Plant:
-    def __init__(self, program: Program, nodes: list[Node], discovery: Discovery) -> None:
+class ProxyRig:
+    def __init__(
+        self, program: ProxyProcess, nodes: list[ScriptedNode], discovery: ScriptedDiscovery
+    ) -> None:
         self.program, self.nodes, self.discovery = program, nodes, discovery
 
     @property
     def seen(self) -> list[str]:
-        return [request for node in self.nodes for request in node.seen]
+        return [request for node in self.nodes for request in node.requests]
 
 
-def judged(audit: Audit, program: Program) -> None:
+def check_run(audit: Audit, program: ProxyProcess) -> None:
     """The rules, of every request whose id was used once. Callers who asked on a connection of their own are taken to
     have left at the end: of theirs, only what the nodes saw is judged."""
-    facts, asks = list(audit.facts), Counter(data for _, data in program.asked)
+    facts, asks = list(audit.facts), Counter(data for _, data in program.sent)
 
     def known(data: bytes) -> str:
-        request = field(data.partition(b"\r\n\r\n")[0].decode("latin-1"), "x-request-id")
+        request = header_value(data.partition(b"\r\n\r\n")[0].decode("latin-1"), "x-request-id")
         return (
             request
             if issued[request] == 1 and asks[data] == 1 and data.startswith((b"POST ", b"GET "))
@@ -344,10 +350,10 @@
         )
 
     came = {f.request: f for f in reversed(facts) if hasattr(f, "work_us")}
-    named = {known(data) for _, data in program.asked}
+    named = {known(data) for _, data in program.sent}
     audit.facts = [f for f in facts if issued[getattr(f, "request", "")] < 2]
     mine = set()
-    for t, data in program.asked:
+    for t, data in program.sent:
         if request := known(data):
             mine.add(request)
             audit.asked(t, request, data.split(b"/")[1].decode("latin-1"), t + 20_000_000)
@@ -368,30 +374,30 @@
 
 
 @contextmanager
-def plant(
-    tmp: Path, nodes: int = 1, faults: bool = False, kind: type[Node] = Node, **more: Any
-) -> Iterator[Plant]:
+def running_proxy(
+    tmp: Path, nodes: int = 1, faults: bool = False, kind: type[ScriptedNode] = ScriptedNode, **more: Any
+) -> Iterator[ProxyRig]:
     peers = [kind() for _ in range(nodes)]
     for peer in peers:  # a test cannot know which of them is asked
-        peer.go, peer.waiting, peer.left = peers[0].go, peers[0].waiting, peers[0].left
-    members = [member(f"s-{i}", peer.address) for i, peer in enumerate(peers)]
-    audit = Audit((LOOK,), (BUY,), slack="10 s")
+        peer.release, peer.held, peer.disconnected = peers[0].release, peers[0].held, peers[0].disconnected
+    members = [node_entry(f"s-{i}", peer.address) for i, peer in enumerate(peers)]
+    audit = Audit((SAFE_CLASS,), (UNSAFE_CLASS,), slack="10 s")
     for peer in peers:
-        peer.audit = audit if kind is Node else None
-    discovery = Discovery(members)
-    program = Program(tmp, members, discovery.address, **more)
+        peer.audit = audit if kind is ScriptedNode else None
+    discovery = ScriptedDiscovery(members)
+    program = ProxyProcess(tmp, members, discovery.address, **more)
     try:
-        yield Plant(program, peers, discovery)
+        yield ProxyRig(program, peers, discovery)
     finally:
-        program.ending = True
+        program.stopping = True
         for peer in peers:
-            peer.go.set()
+            peer.release.set()
         program.process.kill()
         program.process.wait()
         for peer in (*peers, discovery):
             peer.sock.close()
-        if kind is Node:
-            judged(audit, program)
+        if kind is ScriptedNode:
+            check_run(audit, program)
         assert faults or not (
             bad := [line for line in program.log if "Traceback" in line or "fault" in line]
         ), bad
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -14,8 +14,8 @@
 from paddlestep.balance import Balancer
 from slatelab import records as r
 from slatelab.judge import judge
-from slatelab.model.run import Play
-from slatelab.model.world import EPOCH
+from slatelab.model.run import Simulation
+from slatelab.model.world import EPOCH_UNIX_US
 from slatelab.scenario import Scenario, parse
 
 COLD: dict[str, Any] = {
@@ -272,33 +272,33 @@
 
     monkeypatch.setattr(Balancer, "finish", looked)
     day = scenario(TROUBLES[name])
-    play = Play(day, seed, Path(), None)
+    play = Simulation(day, seed, Path(), None)
     desks: list[Any] = []
     seen: dict[str, int] = {}
 
     def look() -> None:
         """Late in the day: no node is left out, slots are whole, every one may have a call."""
-        for post in play.world.posts.values():
+        for post in play.context.proxy_supervisors.values():
             assert post.proxy
-            desks.append(post.proxy.desk)
-            module = post.proxy.desk.balancer
+            desks.append(post.proxy.dispatcher)
+            module = post.proxy.dispatcher.balancer
             assert len(module.ready) == 4 and all(module.limit(s) >= 1 for s in module.ready)
             assert not [s for s in module.ready if s.ejected > module.now or s.strikes > 1], "still ejected"
             assert module.slots > 0.9 * sum(module.share(s) for s in module.ready)
             seen["looked"] = seen.get("looked", 0) + 1
 
-    play.world.day.at(LAST - 500 * MS, look)
-    play.play()
-    facts = play.world.records
+    play.context.clock.call_at(LAST - 500 * MS, look)
+    play.run()
+    facts = play.context.records
     assert seen == {"looked": 2}
     ruling = judge(day, facts)
-    assert ruling.clean, "\n".join(v.explain() for v in ruling.violations[:2])
+    assert ruling.passed, "\n".join(v.explain() for v in ruling.violations[:2])
     asked = {f.request: f.t for f in facts if isinstance(f, r.Asked)}
     late = [f for f in facts if isinstance(f, r.Answered) and asked[f.request] > CALM]
     assert len(late) > 150 and [f for f in late if f.status != 200] == []
     works = {(f.node, f.life) for f in facts if isinstance(f, r.Began) and f.t > CALM}
     assert len({node for node, _ in works}) == 4, "a node gets nothing any more"
-    calm = [t for t, _ in idle if t - EPOCH > ENDED]
+    calm = [t for t, _ in idle if t - EPOCH_UNIX_US > ENDED]
     assert not calm, f"{len(calm)} refused while servers stood idle"
     for desk in desks:
         at_rest(desk)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 from helpers import UNSAFE, settings
 
 from paddlestep.interface import Entry, ListKind
-from slatehub.core.desk import SalesDesk
+from slatehub.core.dispatcher import Dispatcher
 from slatelab.judge import RULES
 
 S = 1_000_000
@@ -74,10 +74,10 @@
         broken.check()
 
 
-def resting() -> SalesDesk:
-    desk = SalesDesk(settings(UNSAFE), 1, 10)
-    desk.listed(S, ListKind.FULL, 1, (Entry(1), Entry(2)))
-    desk.turn(S)
+def resting() -> Dispatcher:
+    desk = Dispatcher(settings(UNSAFE), 1, 10)
+    desk.update_nodes(S, ListKind.FULL, 1, (Entry(1), Entry(2)))
+    desk.process_batch(S)
     return desk
 
 
@@ -88,11 +88,11 @@
         lambda d: setattr(d.balancer.servers[1], "flights", -1),
         lambda d: setattr(d.balancer, "out_count", 1),
         lambda d: setattr(d.balancer, "slots", d.balancer.slots + 1),
-        lambda d: d.ledger.names.update(a=None),
+        lambda d: d.job_table.by_request_id.update(a=None),
         lambda d: d.timers.extend([(9, n) for n in range(9)]),
     ],
 )
-def test_a_count_that_does_not_return_is_seen(wrong: Callable[[SalesDesk], None]) -> None:
+def test_a_count_that_does_not_return_is_seen(wrong: Callable[[Dispatcher], None]) -> None:
     at_rest(resting())
     desk = resting()
     wrong(desk)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -16,19 +16,19 @@
 from typing import Any
 
 import pytest
-from fleet_rig import Fleet, fleet
-from plant import LOOK, ROOT, answer, order, until
+from fleet_rig import FleetRig, running_fleet
+from proxy_rig import ROOT, SAFE_CLASS, build_request, read_response, wait_until
 
 
-def group(rig: Fleet, name: str) -> dict[str, Any]:
+def group(rig: FleetRig, name: str) -> dict[str, Any]:
     """{}: it has not begun yet."""
     try:
-        return rig.ask(name, "/copies")
+        return rig.management_get(name, "/copies")
     except ValueError:
         return {}
 
 
-def whole(rig: Fleet) -> None:
+def whole(rig: FleetRig) -> None:
     """The group has been founded, all of it is heard, and nobody is behind."""
 
     def good(name: str) -> bool:
@@ -36,14 +36,14 @@
         well = told and told["votes"] and told["majority"] and told["caught_up"]
         return bool(well and not (told["silent"] or told["before"]))
 
-    until(lambda: all(good(name) for name in rig.programs))
+    wait_until(lambda: all(good(name) for name in rig.programs))
 
 
 class Orders:
     """Callers with an order each: they ask one proxy after another, with the same key, until they are told that it has
     run, and then once more."""
 
-    def __init__(self, rig: Fleet, threads: int = 4, most: int = 10_000) -> None:
+    def __init__(self, rig: FleetRig, threads: int = 4, most: int = 10_000) -> None:
         self.rig, self.on, self.most = rig, True, most
         self.told: dict[str, list[tuple[int, bytes]]] = {}
         self.lock = threading.Lock()
@@ -66,11 +66,11 @@
                     time.sleep(0.05)
                     continue
                 with self.lock:
-                    data = order("echo", "order-place", body=key.encode(), Idempotency_Key=key)
+                    data = build_request("echo", "order-place", body=key.encode(), Idempotency_Key=key)
                 try:  # not by `ask`: the audit knows of no answer that a node gave to an earlier request
                     with rng.choice(programs).connect() as conn:
                         conn.sendall(data)
-                        status, _, body = answer(conn)
+                        status, _, body = read_response(conn)
                 except OSError:
                     continue
                 tries.append((status, body))
@@ -78,7 +78,7 @@
                     break
                 time.sleep(0.002 if status == 200 else 0.02)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.on = False
         for thread in self.threads:
             thread.join()
@@ -87,25 +87,25 @@
         return Counter(status for tries in list(self.told.values()) for status, _ in list(tries))
 
 
-def executions(rig: Fleet) -> Counter[str]:
+def executions(rig: FleetRig) -> Counter[str]:
     """By order key, at all nodes: the key travels in the body."""
-    seen = [request for node in rig.nodes for request in node.seen if "/order-place/" in request]
+    seen = [request for node in rig.nodes for request in node.requests if "/order-place/" in request]
     return Counter(request.rpartition("\r\n\r\n")[2] for request in seen)
 
 
 def test_a_machine_is_lost_with_its_disk_and_no_order_runs_twice(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3, voters=3) as rig:
+    with running_fleet(tmp_path, 3, voters=3) as rig:
         whole(rig)
         orders = Orders(rig)
-        until(lambda: orders.statuses()[200] > 150)
-        rig.lose("p1")
+        wait_until(lambda: orders.statuses()[200] > 150)
+        rig.kill_and_wipe("p1")
         done = orders.statuses()[200]
-        until(lambda: orders.statuses()[200] > done + 150)
+        wait_until(lambda: orders.statuses()[200] > done + 150)
         rig.start("p1")  # under its old name, empty
         whole(rig)
         done = orders.statuses()[200]
-        until(lambda: orders.statuses()[200] > done + 100)
-        orders.end()
+        wait_until(lambda: orders.statuses()[200] > done + 100)
+        orders.stop()
         ran = executions(rig)
         assert max(ran.values()) == 1, ran.most_common(3)
         for key, tries in orders.told.items():
@@ -117,35 +117,35 @@
         print(orders.statuses(), [group(rig, n)["ledger"] for n in rig.names])
 
 
-def say(rig: Fleet, name: str, key: str, action: str = "echo", body: str = "") -> tuple[int, bytes]:
+def say(rig: FleetRig, name: str, key: str, action: str = "echo", body: str = "") -> tuple[int, bytes]:
     """One try of the order of this key, at this proxy."""
-    data = order(
+    data = build_request(
         action, "order-place", body=(body or key).encode(), **({"Idempotency_Key": key} if key else {})
     )
     with rig.programs[name].connect() as conn:
         conn.sendall(data)
-        status, _, found = answer(conn)
+        status, _, found = read_response(conn)
         return status, found
 
 
-def warm(rig: Fleet) -> None:
+def warm(rig: FleetRig) -> None:
     whole(rig)
     for i, name in enumerate(rig.programs):
-        until(lambda name=name, i=i: say(rig, name, f"warm-{i}-{time.monotonic_ns()}")[0] == 200)
+        wait_until(lambda name=name, i=i: say(rig, name, f"warm-{i}-{time.monotonic_ns()}")[0] == 200)
 
 
 def test_what_a_repeat_is_told_at_any_proxy(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3, voters=3) as rig:
+    with running_fleet(tmp_path, 3, voters=3) as rig:
         warm(rig)
         out = threading.Thread(target=say, args=(rig, "p0", "held", "wait"), daemon=True)
         out.start()
-        until(lambda: executions(rig)["held"] == 1)
+        wait_until(lambda: executions(rig)["held"] == 1)
         rig.programs["p0"].process.send_signal(signal.SIGHUP)  # how it ends is written down all the same
-        until(lambda: [x for x in rig.programs["p0"].log if "read again and in force" in x])
+        wait_until(lambda: [x for x in rig.programs["p0"].log if "read again and in force" in x])
         for node in rig.nodes:
-            node.go.set()
+            node.release.set()
         out.join()
-        until(lambda: say(rig, "p1", "held", "wait")[0] == 200)
+        wait_until(lambda: say(rig, "p1", "held", "wait")[0] == 200)
         assert executions(rig)["held"] == 1
         assert [say(rig, name, "a") for name in ("p0", "p1", "p2", "p0")] == [(200, b"a")] * 4
         assert say(rig, "p1", "a", body="another")[0] == 422
@@ -178,10 +178,10 @@
 
 
 def test_a_minority_refuses_such_orders_at_once_and_serves_all_others(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3, voters=3) as rig:
+    with running_fleet(tmp_path, 3, voters=3) as rig:
         warm(rig)
         assert say(rig, "p2", "a")[0] == 200
-        rig.set(lambda net: net.sever("cut", ["p2"], ["p0", "p1"]))
+        rig.set_faults(lambda net: net.partition("cut", ["p2"], ["p0", "p1"]))
 
         def alone() -> bool:
             """Silence shows in the time that an order is given, and is not told from a pause of this process: on a busy
@@ -189,22 +189,22 @@
             assert say(rig, "p2", "b")[0] == 503
             return not group(rig, "p2")["majority"]
 
-        until(alone)
+        wait_until(alone)
         assert say(rig, "p2", "b")[0] == 503
         assert say(rig, "p2", "a") == (200, b"a")  # what is known is told
-        assert rig.programs["p2"].ask(order("ok", LOOK))[0] == 200
+        assert rig.programs["p2"].request(build_request("ok", SAFE_CLASS))[0] == 200
         assert say(rig, "p0", "b") == (200, b"b")
-        rig.set(lambda net: net.mend("cut"))
-        until(lambda: group(rig, "p2")["majority"])
-        until(lambda: say(rig, "p2", "b") == (200, b"b"))
+        rig.set_faults(lambda net: net.heal("cut"))
+        wait_until(lambda: group(rig, "p2")["majority"])
+        wait_until(lambda: say(rig, "p2", "b") == (200, b"b"))
         assert executions(rig)["b"] == 1
 
 
 def test_all_are_killed_at_once_while_an_order_is_out_and_nobody_sends_it_again(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3, voters=3) as rig:
+    with running_fleet(tmp_path, 3, voters=3) as rig:
         warm(rig)
         assert say(rig, "p0", "a")[0] == 200
-        rig.programs["p1"].ending = True
+        rig.programs["p1"].stopping = True
 
         def out() -> None:
             try:
@@ -214,13 +214,13 @@
 
         thread = threading.Thread(target=out, daemon=True)
         thread.start()
-        rig.nodes[0].waiting = rig.nodes[1].waiting
-        until(lambda: executions(rig)["b"] == 1)
+        rig.nodes[0].held = rig.nodes[1].held
+        wait_until(lambda: executions(rig)["b"] == 1)
         for name in rig.names:
             rig.kill(name)
         thread.join()
         for node in rig.nodes:
-            node.go.set()
+            node.release.set()
         for name in rig.names:
             rig.start(name)
         whole(rig)
@@ -233,7 +233,7 @@
 
 
 def test_a_full_disk_a_flipped_bit_and_a_copied_folder_are_borne_by_the_others(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3, voters=3, faults=True) as rig:
+    with running_fleet(tmp_path, 3, voters=3, faults=True) as rig:
         warm(rig)
         for i in range(20):
             assert say(rig, "p0", f"k{i}")[0] == 200
@@ -257,7 +257,7 @@
         rig.kill("p0")
         rig.start("p0", {"stderr": subprocess.PIPE, "preexec_fn": cramped})
         whole(rig)
-        until(
+        wait_until(
             lambda: any(
                 group(rig, "p0")["problem"] for _ in range(2) if say(rig, "p1", f"f{time.monotonic_ns()}")
             )
@@ -280,17 +280,17 @@
         run = [sys.executable, "-B", "-m", "slatehub", *words]
         return subprocess.run(run, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
-    with fleet(tmp_path, 4, voters=3) as rig:
+    with running_fleet(tmp_path, 4, voters=3) as rig:
         whole_of = [name for name in rig.names if name != "p3"]
-        until(lambda: all((told := group(rig, name)) and told["votes"] for name in whole_of))
-        until(lambda: say(rig, "p3", "a")[0] == 200)  # it does not vote, and asks the others
-        at = "{}:{}".format(*rig.programs["p0"].mgmt)
+        wait_until(lambda: all((told := group(rig, name)) and told["votes"] for name in whole_of))
+        wait_until(lambda: say(rig, "p3", "a")[0] == 200)  # it does not vote, and asks the others
+        at = "{}:{}".format(*rig.programs["p0"].management_address)
         said = command("copies", "status", "--at", at)
         assert said.returncode == 0 and "epoch: 1" in said.stdout, said
-        until(lambda: command("copies", "add", "p3", "--at", at).returncode == 0)
-        until(lambda: group(rig, "p3")["votes"] and not group(rig, "p0")["before"])
+        wait_until(lambda: command("copies", "add", "p3", "--at", at).returncode == 0)
+        wait_until(lambda: group(rig, "p3")["votes"] and not group(rig, "p0")["before"])
         assert command("copies", "remove", "p1", "--at", at).stdout == "begun\n"
-        until(lambda: [v["name"] for v in group(rig, "p0")["voters"]] == ["p0", "p2", "p3"])
+        wait_until(lambda: [v["name"] for v in group(rig, "p0")["voters"]] == ["p0", "p2", "p3"])
         assert command("copies", "remove", "p1", "--at", at).stdout == "p1 is no voter\n"
         rig.kill("p2")
         folder = str(rig.folder("p2"))
@@ -301,7 +301,7 @@
         assert command("store", "compact", folder).returncode == 0
         assert '"state": "ran"' in command("store", "export", folder).stdout
         rig.start("p2")
-        until(lambda: group(rig, "p2").get("votes"))
+        wait_until(lambda: group(rig, "p2").get("votes"))
         assert say(rig, "p2", "a") == (200, b"a")
 
 
@@ -310,20 +310,20 @@
 ) -> None:
     def uses(name: str, node: int) -> bool:
         """Whether this proxy still sends anything there, of thirty requests."""
-        seen = len(rig.nodes[node].seen)
+        seen = len(rig.nodes[node].requests)
         for _ in range(30):
-            rig.programs[name].ask(order("ok", LOOK))
-        return len(rig.nodes[node].seen) > seen
+            rig.programs[name].request(build_request("ok", SAFE_CLASS))
+        return len(rig.nodes[node].requests) > seen
 
     for name in ("before", "after"):
         (tmp_path / name).mkdir()
     monkeypatch.setenv("TMPDIR", str(tmp_path / "before"))
-    with fleet(tmp_path, 3, voters=3, more='maintenance = "fleet"') as rig:
+    with running_fleet(tmp_path, 3, voters=3, more='maintenance = "fleet"') as rig:
         warm(rig)
-        assert rig.programs["p0"].call("PUT", "/nodes/s-9/maint") == 404
-        assert rig.programs["p0"].call("PUT", "/nodes/s-0/maint") == 200
+        assert rig.programs["p0"].management_call("PUT", "/nodes/s-9/maint") == 404
+        assert rig.programs["p0"].management_call("PUT", "/nodes/s-0/maint") == 200
         for name in rig.names:
-            until(lambda name=name: not uses(name, 0))
+            wait_until(lambda name=name: not uses(name, 0))
         for name in rig.names:
             rig.kill(name)
         monkeypatch.setenv("TMPDIR", str(tmp_path / "after"))  # nothing is left but the copies
@@ -332,16 +332,16 @@
             rig.start(name)
         whole(rig)
         for name in rig.names:
-            until(lambda name=name: not uses(name, 0))
-        rig.set(lambda net: net.sever("cut", ["p2"], ["p0", "p1"]))
-        assert rig.programs["p2"].call("PUT", "/nodes/s-1/maint") == 503  # an honest no
+            wait_until(lambda name=name: not uses(name, 0))
+        rig.set_faults(lambda net: net.partition("cut", ["p2"], ["p0", "p1"]))
+        assert rig.programs["p2"].management_call("PUT", "/nodes/s-1/maint") == 503  # an honest no
         assert uses("p2", 1)
-        assert rig.programs["p1"].call("PUT", "/nodes/s-0/ready") == 200
+        assert rig.programs["p1"].management_call("PUT", "/nodes/s-0/ready") == 200
         assert (
-            rig.programs["p0"].call("PUT", "/nodes/s-1/maint") == 200
+            rig.programs["p0"].management_call("PUT", "/nodes/s-1/maint") == 200
         )  # so that what is left is the one put back
-        until(lambda: not uses("p0", 1))
+        wait_until(lambda: not uses("p0", 1))
         assert uses("p0", 0) and uses("p2", 1) and not uses("p2", 0)
-        rig.set(lambda net: net.mend("cut"))
-        until(lambda: not uses("p2", 1))
+        rig.set_faults(lambda net: net.heal("cut"))
+        wait_until(lambda: not uses("p2", 1))
         assert uses("p2", 0)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -15,7 +15,17 @@
 import gevent
 import gevent.select
 import pytest
-from plant import BUY, LOOK, Node, Plant, answer, field, order, plant, read_head
+from proxy_rig import (
+    SAFE_CLASS,
+    UNSAFE_CLASS,
+    ProxyRig,
+    ScriptedNode,
+    build_request,
+    header_value,
+    read_head,
+    read_response,
+    running_proxy,
+)
 from test_line import LAST, WHOLE, Script, Stand, listen, rest, room_for
 
 from paddlestep.interface import Outcome, Send, Status
@@ -29,7 +39,7 @@
 }
 
 
-class Cutter(Node):
+class Cutter(ScriptedNode):
     """`/FORM-BYTES-HOW`: so many bytes of that answer, then the end. Whole requests are counted."""
 
     def __init__(self) -> None:
@@ -40,16 +50,16 @@
         with conn:
             try:
                 while head := read_head(conn):
-                    self.whole[field(head, "x-request-id")] += 1
-                    if not self.reply(conn, head, b""):
+                    self.whole[header_value(head, "x-request-id")] += 1
+                    if not self.respond(conn, head, b""):
                         return
             except OSError:
                 pass
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         form, _, rest = head.split(" ")[1].rpartition("/")[2].partition("-")
         if form not in FORMS:
-            return super().reply(conn, head, body)
+            return super().respond(conn, head, body)
         size, _, how = rest.partition("-")
         conn.sendall(FORMS[form][: int(size)])
         self.end(conn, how)
@@ -63,13 +73,13 @@
 
 
 @contextmanager
-def cutters(tmp: Path) -> Iterator[Plant]:
-    with plant(tmp, nodes=2, kind=Cutter) as p:
+def cutters(tmp: Path) -> Iterator[ProxyRig]:
+    with running_proxy(tmp, nodes=2, kind=Cutter) as p:
         yield p
         assert p.program.process.poll() is None
 
 
-def runs(p: Plant, request: str) -> int:
+def runs(p: ProxyRig, request: str) -> int:
     return sum(node.whole[request] for node in p.nodes if isinstance(node, Cutter))
 
 
@@ -81,9 +91,11 @@
     with cutters(tmp_path) as p:
         whole = len(FORMS[form])
         for size in range(whole + 1):
-            for cls in (BUY, LOOK):
+            for cls in (UNSAFE_CLASS, SAFE_CLASS):
                 request = f"{cls}-{size}"
-                status, _, body = p.program.ask(order(f"{form}-{size}-{how}", cls, X_Request_ID=request))
+                status, _, body = p.program.request(
+                    build_request(f"{form}-{size}-{how}", cls, X_Request_ID=request)
+                )
                 # All of it had come, or an end that is the end: FIN after the head of one without a length.
                 ended = form == "endless" and how == "fin" and size >= FORMS[form].index(b"\r\n\r\n") + 4
                 if status == 200:
@@ -94,8 +106,8 @@
                 else:
                     assert not ended
                     # What may have run is failed where it may not be repeated; a safe one may be asked for again.
-                    assert status == 500 if cls == BUY else status in (500, 503)
-                assert 1 <= runs(p, request) <= (1 if cls == BUY else 4)
+                    assert status == 500 if cls == UNSAFE_CLASS else status in (500, 503)
+                assert 1 <= runs(p, request) <= (1 if cls == UNSAFE_CLASS else 4)
 
 
 def cut(conn: Any, size: int, how: str) -> bytes:
@@ -131,7 +143,7 @@
                 conn, _ = peer.accept()
                 length = len(conn.recv(1000))
                 conn.sendall(WHOLE)
-                while not stand.attempts[-1].over:
+                while not stand.attempts[-1].finished:
                     gevent.sleep(0)
                 rest()
             stand.job(f"cut-{size}")
@@ -144,7 +156,7 @@
             got = cut(conn, size, how)
             rest()
             wholes = 0
-            while not attempt.over:
+            while not attempt.finished:
                 if gevent.select.select([peer], [], [], 0.005)[0]:
                     other, _ = peer.accept()  # it goes by another one
                     wholes += other.recv(1000).endswith(b"\r\n\r\n")
@@ -156,13 +168,13 @@
             assert (ended is Status.OK) == (wholes == 1) and ended in (Status.OK, Status.RESET)
             assert ended is Status.RESET or used
             size += 1
-        assert room.lines == 0
+        assert room.open_connections == 0
 
 
-class Twice(Node):
+class Twice(ScriptedNode):
     """Answers, and once more when it is told to, with another body; or never ends its answer."""
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         action = head.split(" ")[1].rpartition("/")[2]
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
         if action == "twice":
@@ -172,37 +184,35 @@
         if action == "never-ends":
             conn.sendall(b"HTTP/1.1 200 OK\r\nX-Pad: ")
             try:
-                while not self.go.wait(0.01):
+                while not self.release.wait(0.01):
                     conn.sendall(b"x" * 50)
             except OSError:
-                self.left.release()
+                self.disconnected.release()
             return False
-        return super().reply(conn, head, body)
+        return super().respond(conn, head, body)
 
     def again(self, conn: socket.socket, data: bytes) -> None:
-        self.go.wait(20)
+        self.release.wait(20)
         try:
             conn.sendall(data)
         except OSError:
             pass
-        self.waiting.release()
+        self.held.release()
 
 
 def test_a_late_second_answer_never_answers_the_next_request(tmp_path: Path) -> None:
-    with plant(tmp_path, kind=Twice) as p:
+    with running_proxy(tmp_path, kind=Twice) as p:
         for _ in range(5):
-            assert p.program.ask(order("twice"))[::2] == (200, b"first")
-            p.nodes[0].go.set()
-            assert p.nodes[0].waiting.acquire(
-                timeout=20
-            )  # it lies there when the next request would be written
-            p.nodes[0].go.clear()
-            assert p.program.ask(order("ok"))[::2] == (200, b"done")
+            assert p.program.request(build_request("twice"))[::2] == (200, b"first")
+            p.nodes[0].release.set()
+            assert p.nodes[0].held.acquire(timeout=20)  # it lies there when the next request would be written
+            p.nodes[0].release.clear()
+            assert p.program.request(build_request("ok"))[::2] == (200, b"done")
 
 
 def test_an_answer_that_never_ends_is_given_up_and_its_connection_with_it(tmp_path: Path) -> None:
-    with plant(tmp_path, kind=Twice) as p, p.program.connect() as conn:
-        conn.sendall(order("never-ends"))
-        assert answer(conn)[0] == 500
-        assert p.nodes[0].left.acquire(timeout=20)
-        assert p.program.ask(order("ok"))[0] == 200
+    with running_proxy(tmp_path, kind=Twice) as p, p.program.connect() as conn:
+        conn.sendall(build_request("never-ends"))
+        assert read_response(conn)[0] == 500
+        assert p.nodes[0].disconnected.acquire(timeout=20)
+        assert p.program.request(build_request("ok"))[0] == 200
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,71 +10,71 @@
 from pathlib import Path
 
 import pytest
-from fleet_rig import Callers, Fleet, fleet
-from plant import ROOT, Node, until
+from fleet_rig import FleetRig, LoadClients, running_fleet
+from proxy_rig import ROOT, ScriptedNode, wait_until
 
-from slatehub.settings import keys
+from slatehub.settings import key_file
 
 
 def status(rig: object, name: str, *more: str) -> subprocess.CompletedProcess[str]:
     """`slatehub fleet`, as an operator would ask."""
-    host, port = rig.programs[name].mgmt  # type: ignore[attr-defined]
+    host, port = rig.programs[name].management_address  # type: ignore[attr-defined]
     command = [sys.executable, "-B", "-m", "slatehub", "fleet", *more, "--at", f"{host}:{port}"]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
 
 def test_five_proxies_serve_while_one_is_killed_and_one_cut_off(tmp_path: Path) -> None:
-    with fleet(tmp_path, 5) as rig:
+    with running_fleet(tmp_path, 5) as rig:
         everybody = set(rig.names)
-        until(lambda: all(rig.alive(name) == everybody for name in rig.names))
+        wait_until(lambda: all(rig.alive_members(name) == everybody for name in rig.names))
         said = status(rig, "p0", "status")
         assert said.returncode == 0 and "alive 5 (this one included), suspect 0, lost 0" in said.stdout, said
-        callers = Callers(rig)
-        callers.warm()
+        callers = LoadClients(rig)
+        callers.wait_until_warm()
         rig.kill("p4")
-        rig.set(lambda net: net.sever("cut", ["p3"], ["p0", "p1", "p2"]))
+        rig.set_faults(lambda net: net.partition("cut", ["p3"], ["p0", "p1", "p2"]))
         for name in ("p0", "p1", "p2"):
-            until(lambda name=name: rig.alive(name) == {"p0", "p1", "p2"})
-        until(lambda: rig.alive("p3") == {"p3"})
-        until(lambda: rig.status("p1")["lost"] == 2)  # suspected until then
+            wait_until(lambda name=name: rig.alive_members(name) == {"p0", "p1", "p2"})
+        wait_until(lambda: rig.alive_members("p3") == {"p3"})
+        wait_until(lambda: rig.fleet_status("p1")["lost"] == 2)  # suspected until then
         said = status(rig, "p1", "status")
         assert said.returncode == 1 and "alive 3 (this one included), suspect 0, lost 2" in said.stdout, said
         served = callers.statuses[1]
-        until(lambda: callers.statuses[1] > served + 50)
-        rig.set(lambda net: net.mend("cut"))
+        wait_until(lambda: callers.statuses[1] > served + 50)
+        rig.set_faults(lambda net: net.heal("cut"))
         for name in ("p0", "p1", "p2", "p3"):
-            until(lambda name=name: rig.alive(name) == {"p0", "p1", "p2", "p3"})
+            wait_until(lambda name=name: rig.alive_members(name) == {"p0", "p1", "p2", "p3"})
         assert not callers.statuses[0]
         rig.start(
             "p4"
         )  # under its old name, from nothing: until it knows how long its nodes take it may refuse a call
         for name in rig.names:
-            until(lambda name=name: rig.alive(name) == everybody)
-        callers.end()
+            wait_until(lambda name=name: rig.alive_members(name) == everybody)
+        callers.stop()
         rows = status(rig, "p2", "members").stdout.splitlines()
         assert [row.split()[:3:2] for row in rows[1:]] == [[f"p{i}", "alive"] for i in (2, 0, 1, 3, 4)]
 
 
 def test_one_that_was_frozen_neither_accuses_the_others_nor_stays_lost(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as rig:
+    with running_fleet(tmp_path, 4) as rig:
         everybody = set(rig.names)
-        until(lambda: all(rig.alive(name) == everybody for name in rig.names))
+        wait_until(lambda: all(rig.alive_members(name) == everybody for name in rig.names))
         os.kill(rig.programs["p2"].process.pid, signal.SIGSTOP)
         for name in ("p0", "p1", "p3"):
-            until(lambda name=name: rig.alive(name) == everybody - {"p2"})
+            wait_until(lambda name=name: rig.alive_members(name) == everybody - {"p2"})
         os.kill(rig.programs["p2"].process.pid, signal.SIGCONT)
         for name in rig.names:
-            until(lambda name=name: rig.alive(name) == everybody)
+            wait_until(lambda name=name: rig.alive_members(name) == everybody)
         assert not [line for line in rig.programs["p2"].log if "is lost" in line]
         assert [line for line in rig.programs["p2"].log if "; contradicted" in line]
 
 
 def test_sigterm_is_a_good_bye(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3) as rig:
-        until(lambda: all(len(rig.alive(name)) == 3 for name in rig.names))
+    with running_fleet(tmp_path, 3) as rig:
+        wait_until(lambda: all(len(rig.alive_members(name)) == 3 for name in rig.names))
         rig.programs["p2"].process.send_signal(signal.SIGTERM)
         for name in ("p0", "p1"):
-            until(lambda name=name: [x for x in rig.programs[name].log if "p2 is left: it said so" in x])
+            wait_until(lambda name=name: [x for x in rig.programs[name].log if "p2 is left: it said so" in x])
         assert not [x for name in ("p0", "p1") for x in rig.programs[name].log if "is suspect" in x]
 
 
@@ -82,112 +82,114 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with fleet(tmp_path, 3) as rig:
+    with running_fleet(tmp_path, 3) as rig:
         everybody = set(rig.names)
-        until(lambda: all(rig.alive(name) == everybody for name in rig.names))
-        callers = Callers(rig)
-        callers.warm()
+        wait_until(lambda: all(rig.alive_members(name) == everybody for name in rig.names))
+        callers = LoadClients(rig)
+        callers.wait_until_warm()
         old = rig.programs["p1"]
         rig.start("p1")  # beside the one that runs
         for name in ("p0", "p2"):
-            until(lambda name=name: [x for x in rig.programs[name].log if "p1 is alive: a new process" in x])
-        old.ending = True
+            wait_until(
+                lambda name=name: [x for x in rig.programs[name].log if "p1 is alive: a new process" in x]
+            )
+        old.stopping = True
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(20) == 0
         for name in rig.names:
-            until(lambda name=name: rig.alive(name) == everybody)
-        callers.end()
+            wait_until(lambda name=name: rig.alive_members(name) == everybody)
+        callers.stop()
         told = [x for name in ("p0", "p2") for x in rig.programs[name].log]
         assert not [x for x in told if "p1 is lost" in x or "p1 is left" in x]
 
 
-class Moody(Node):
+class Moody(ScriptedNode):
     """Fails all that it gets while it is told to."""
 
     bad = False
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
-        return super().reply(conn, head.replace("/ok ", "/error ", 1) if self.bad else head, body)
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
+        return super().respond(conn, head.replace("/ok ", "/error ", 1) if self.bad else head, body)
 
 
-def shared(rig: Fleet, key: str) -> list[object]:
-    return [rig.status(name)["shared"][key] for name in rig.names]
+def shared(rig: FleetRig, key: str) -> list[object]:
+    return [rig.fleet_status(name)["shared"][key] for name in rig.names]
 
 
 def test_a_node_that_fails_is_left_to_one_proxy_and_used_again_when_that_is_served(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4, nodes=3, kind=Moody) as rig:
-        until(lambda: shared(rig, "sum_of") == [4] * 4)
-        callers = Callers(rig, 6)
-        until(lambda: callers.statuses[1] > 50 and all(shared(rig, "in_use")))
+    with running_fleet(tmp_path, 4, nodes=3, kind=Moody) as rig:
+        wait_until(lambda: shared(rig, "sum_of") == [4] * 4)
+        callers = LoadClients(rig, 6)
+        wait_until(lambda: callers.statuses[1] > 50 and all(shared(rig, "in_use")))
         rig.nodes[1].bad = True
-        until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]  # the fourth tries it
+        wait_until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]  # the fourth tries it
         rig.nodes[1].bad = False
-        until(lambda: sum(shared(rig, "left_to_others")) == 0)  # type: ignore[arg-type]
-        seen = len(rig.nodes[1].seen)
-        until(lambda: len(rig.nodes[1].seen) > seen + 20)
-        callers.end()
+        wait_until(lambda: sum(shared(rig, "left_to_others")) == 0)  # type: ignore[arg-type]
+        seen = len(rig.nodes[1].requests)
+        wait_until(lambda: len(rig.nodes[1].requests) > seen + 20)
+        callers.stop()
 
 
 def test_all_links_cut_each_goes_by_itself_and_nobody_waits(tmp_path: Path) -> None:
-    with fleet(tmp_path, 3) as rig:
-        until(lambda: shared(rig, "sum_of") == [3] * 3 and all(shared(rig, "in_use")))
-        callers = Callers(rig)
-        callers.warm()
+    with running_fleet(tmp_path, 3) as rig:
+        wait_until(lambda: shared(rig, "sum_of") == [3] * 3 and all(shared(rig, "in_use")))
+        callers = LoadClients(rig)
+        callers.wait_until_warm()
         for name in rig.names:
-            rig.set(lambda net, name=name: net.sever(name, [name], rig.names))
-        until(lambda: not any(shared(rig, "in_use")))
+            rig.set_faults(lambda net, name=name: net.partition(name, [name], rig.names))
+        wait_until(lambda: not any(shared(rig, "in_use")))
         served = callers.statuses[1]
-        until(lambda: callers.statuses[1] > served + 100)
-        rig.set(lambda net: net.cut.clear())
-        until(lambda: all(shared(rig, "in_use")))
-        callers.end()
+        wait_until(lambda: callers.statuses[1] > served + 100)
+        rig.set_faults(lambda net: net.partitions.clear())
+        wait_until(lambda: all(shared(rig, "in_use")))
+        callers.stop()
         assert not callers.statuses[0]
 
 
 def test_a_flood_of_noise_and_of_records_is_dropped_and_costs_no_answer(tmp_path: Path) -> None:
-    with fleet(tmp_path, 2) as rig:
-        until(lambda: all(len(rig.alive(name)) == 2 for name in rig.names))
-        callers = Callers(rig)
-        callers.warm()
+    with running_fleet(tmp_path, 2) as rig:
+        wait_until(lambda: all(len(rig.alive_members(name)) == 2 for name in rig.names))
+        callers = LoadClients(rig)
+        callers.wait_until_warm()
         noise = os.urandom(1200)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for i in range(20_000):
-                sock.sendto(noise[: 1 + i % 1200], rig.relay.listens["p0"])
+                sock.sendto(noise[: 1 + i % 1200], rig.relay.listen_addresses["p0"])
         served = callers.statuses[1]
-        until(lambda: callers.statuses[1] > served + 100)
-        callers.end()
-        dropped = rig.status("p0")["dropped"]
+        wait_until(lambda: callers.statuses[1] > served + 100)
+        callers.stop()
+        dropped = rig.fleet_status("p0")["dropped"]
         assert dropped["unknown"] + dropped["short"] + dropped["version"] + dropped["key"] > 100
         assert not callers.statuses[0]
-        until(lambda: rig.alive("p1") == {"p0", "p1"})  # while it lasted, p0 may have been deaf
+        wait_until(lambda: rig.alive_members("p1") == {"p0", "p1"})  # while it lasted, p0 may have been deaf
 
 
 def test_sighup_takes_new_keys_ends_a_membership_and_turns_a_bad_key_file_down(tmp_path: Path) -> None:
-    def renew(rig: Fleet, name: str, own: str, line: str) -> None:
+    def renew(rig: FleetRig, name: str, own: str, line: str) -> None:
         program = rig.programs[name]
         (next(tmp_path.glob(f"{name}-*")) / "operator.toml").write_text(own)
         before = len(program.log)
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: [x for x in program.log[before:] if line in x])
+        wait_until(lambda: [x for x in program.log[before:] if line in x])
 
-    with fleet(tmp_path, 3) as rig:
-        until(lambda: all(len(rig.alive(name)) == 3 for name in rig.names))
-        keys.add(str(rig.key), False)
+    with running_fleet(tmp_path, 3) as rig:
+        wait_until(lambda: all(len(rig.alive_members(name)) == 3 for name in rig.names))
+        key_file.add(str(rig.key), False)
         for turn in (
             lambda path: None,
-            keys.swap,
-            keys.drop,
+            key_file.swap,
+            key_file.drop,
         ):  # the new key is valid, then signs, then is the only one
             turn(str(rig.key))
             for name in rig.names:
-                renew(rig, name, rig.operator(name), "read again and in force")
-                assert len(rig.alive(name)) == 3
-        good = rig.operator("p1")
+                renew(rig, name, rig.operator_config(name), "read again and in force")
+                assert len(rig.alive_members(name)) == 3
+        good = rig.operator_config("p1")
         renew(rig, "p1", good.replace("fleet.key", "none.key"), "fleet.key_file")
-        assert len(rig.alive("p1")) == 3  # the old ones stay in force
+        assert len(rig.alive_members("p1")) == 3  # the old ones stay in force
         renew(rig, "p1", "", "read again and in force")
-        until(lambda: rig.alive("p0") == {"p0", "p2"})
-        assert rig.programs["p1"].call("GET", "/fleet") == 404
+        wait_until(lambda: rig.alive_members("p0") == {"p0", "p2"})
+        assert rig.programs["p1"].management_call("GET", "/fleet") == 404
         renew(rig, "p1", good, "read again and in force")
         for name in rig.names:
-            until(lambda name=name: len(rig.alive(name)) == 3)
+            wait_until(lambda name=name: len(rig.alive_members(name)) == 3)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -14,7 +14,16 @@
 from typing import Any
 
 import pytest
-from plant import Node, Plant, Program, answer, member, order, plant, until
+from proxy_rig import (
+    ProxyProcess,
+    ProxyRig,
+    ScriptedNode,
+    build_request,
+    node_entry,
+    read_response,
+    running_proxy,
+    wait_until,
+)
 from test_told import Moody
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -36,13 +45,15 @@
 
 
 @contextmanager
-def away(tmp: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[Program, list[Node], Away]]:
+def away(
+    tmp: Path, monkeypatch: pytest.MonkeyPatch
+) -> Iterator[tuple[ProxyProcess, list[ScriptedNode], Away]]:
     """A proxy with few descriptors whose list is old: one of its two nodes drains, as discovery will tell."""
     monkeypatch.setenv("TMPDIR", str(tmp))
-    nodes = [Node(), Node()]
-    members = [member(f"s-{i}", node.address) for i, node in enumerate(nodes)]
+    nodes = [ScriptedNode(), ScriptedNode()]
+    members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(nodes)]
     discovery = Away([{**members[0], "phase": "DRAINING"}, members[1]])
-    program = Program(tmp, members, discovery.address, limits=FEW, mgmt="127.0.0.1:0")
+    program = ProxyProcess(tmp, members, discovery.address, limits=FEW, mgmt="127.0.0.1:0")
     try:
         yield program, nodes, discovery
     finally:
@@ -53,19 +64,19 @@
         assert not [line for line in program.log if "Traceback" in line or "fault" in line]
 
 
-def crowd(program: Program, used: bool, count: int = 150) -> list[socket.socket]:
+def crowd(program: ProxyProcess, used: bool, count: int = 150) -> list[socket.socket]:
     """Callers who stay and say nothing (more); more of them than the process has descriptors."""
     found = []
     for _ in range(count):
         conn = program.connect()
         if used:
             conn.sendall(READY)
-            answer(conn)
+            read_response(conn)
         found.append(conn)
     return found
 
 
-def descriptors(program: Program) -> int:
+def descriptors(program: ProxyProcess) -> int:
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
@@ -77,16 +88,16 @@
         idle = crowd(program, used)
         assert descriptors(program) <= FEW["sockets"]
         assert (
-            program.ask(order("ok"))[0] == 200
+            program.request(build_request("ok"))[0] == 200
         )  # a node gets its connection, and who rested longest makes room
-        assert program.call("GET", "/healthcheck") == 200
-        until(lambda: len([x for x in list(program.log) if "call failed" in x]) > 1)
+        assert program.management_call("GET", "/healthcheck") == 200
+        wait_until(lambda: len([x for x in list(program.log) if "call failed" in x]) > 1)
         discovery.back()
         idle += crowd(program, used)
-        until(lambda: discovery.told)
-        before = len(nodes[0].seen)
-        assert {program.ask(order("ok"))[0] for _ in range(3)} == {200}
-        assert len(nodes[0].seen) == before and nodes[1].seen
+        wait_until(lambda: discovery.told)
+        before = len(nodes[0].requests)
+        assert {program.request(build_request("ok"))[0] for _ in range(3)} == {200}
+        assert len(nodes[0].requests) == before and nodes[1].requests
         assert descriptors(program) <= FEW["sockets"]
         assert not [
             x for x in program.log if "cannot accept" in x
@@ -103,11 +114,11 @@
         program.process.send_signal(signal.SIGKILL)
         program.process.wait()
         tree = json.loads((tmp_path / "config.json").read_text())
-        again = Program(tmp_path, tree["known"]["members"], tree["discovery"], limits=FEW, listen=(
-            f"{program.peer[0]}:{program.peer[1]}"))  # fmt: skip
+        again = ProxyProcess(tmp_path, tree["known"]["members"], tree["discovery"], limits=FEW, listen=(
+            f"{program.address[0]}:{program.address[1]}"))  # fmt: skip
         try:
             idle += crowd(again, used=False)
-            assert again.ask(READY)[0] == 200 and again.ask(order("ok"))[0] == 200
+            assert again.request(READY)[0] == 200 and again.request(build_request("ok"))[0] == 200
         finally:
             again.process.kill()
             again.process.wait()
@@ -118,19 +129,19 @@
 def test_much_at_once_and_gone_leaves_nothing(tmp_path: Path) -> None:
     """Callers who write hundreds of requests and go before any is answered: neither descriptors nor log lines grow."""
 
-    def flood(p: Plant) -> None:
+    def flood(p: ProxyRig) -> None:
         for _ in range(20):
             conn = p.program.connect()
-            conn.sendall(b"".join(order("ok") for _ in range(100)) + b"\x00" * 1000)
+            conn.sendall(b"".join(build_request("ok") for _ in range(100)) + b"\x00" * 1000)
             conn.close()
 
     # Connections to the node that the flood had it take end soon, too: they are no part of what may be left.
-    with plant(tmp_path, allowed={"conn_idle_us": 2_000_000}) as p:
-        assert p.program.ask(order("ok"))[0] == 200
-        until(lambda: any("since=" in call for call in list(p.discovery.seen)))
+    with running_proxy(tmp_path, allowed={"conn_idle_us": 2_000_000}) as p:
+        assert p.program.request(build_request("ok"))[0] == 200
+        wait_until(lambda: any("since=" in call for call in list(p.discovery.requests)))
         before, lines = descriptors(p.program), len(p.program.log)
         for _ in range(3):
             flood(p)
-        until(lambda: descriptors(p.program) <= before)
+        wait_until(lambda: descriptors(p.program) <= before)
         assert len(p.program.log) - lines <= 20
-        assert p.program.ask(order("ok"))[0] == 200
+        assert p.program.request(build_request("ok"))[0] == 200
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -16,8 +16,17 @@
 from typing import Any
 
 import pytest
-from plant import Node, Plant, answer, field, plant, read_head, settings, until
-from plant import order as any_order
+from proxy_rig import (
+    ProxyRig,
+    ScriptedNode,
+    header_value,
+    read_head,
+    read_response,
+    running_proxy,
+    settings,
+    wait_until,
+)
+from proxy_rig import build_request as any_order
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
@@ -34,11 +43,11 @@
     return found
 
 
-def ids(p: Plant) -> list[str]:
-    return [field(head, "x-request-id") for head in p.seen]
+def ids(p: ProxyRig) -> list[str]:
+    return [header_value(head, "x-request-id") for head in p.seen]
 
 
-def held(p: Plant) -> int:
+def held(p: ProxyRig) -> int:
     """Sockets that the process holds: a caller that it has let go has none. (One that was reset is in no list of the
     system's any more, but in this one until the program has closed it.)"""
     count = 0
@@ -48,9 +57,9 @@
     return count
 
 
-def watched(p: Plant) -> None:
+def watched(p: ProxyRig) -> None:
     """Waits until the connection to discovery is there to stay."""
-    until(lambda: any("since=" in call for call in list(p.discovery.seen)))
+    wait_until(lambda: any("since=" in call for call in list(p.discovery.requests)))
 
 
 def close(conn: socket.socket) -> None:
@@ -80,18 +89,18 @@
 
 
 @contextmanager
-def crowded(tmp: Path, **allowed: Any) -> Iterator[tuple[Plant, Callable[[], None]]]:
+def crowded(tmp: Path, **allowed: Any) -> Iterator[tuple[ProxyRig, Callable[[], None]]]:
     """One node, which works on an order of ours and is given no second one before. The function lets it go on, and
     checks that the next order is served as if nobody had been in between."""
-    with plant(tmp, settings=patient(**allowed)) as p, ThreadPoolExecutor() as pool:
-        first = pool.submit(p.program.ask, order("wait", X_Request_ID="first"))
-        assert p.nodes[0].waiting.acquire(timeout=20)
+    with running_proxy(tmp, settings=patient(**allowed)) as p, ThreadPoolExecutor() as pool:
+        first = pool.submit(p.program.request, order("wait", X_Request_ID="first"))
+        assert p.nodes[0].held.acquire(timeout=20)
         watched(p)
 
         def go_on() -> None:
-            p.nodes[0].go.set()
+            p.nodes[0].release.set()
             assert first.result(20)[0] == 200
-            assert p.program.ask(order("ok", X_Request_ID="last"))[0] == 200
+            assert p.program.request(order("ok", X_Request_ID="last"))[0] == 200
             assert ids(p) == ["first", "last"]
 
         yield p, go_on
@@ -106,9 +115,9 @@
         before = held(p)
         conn = p.program.connect()
         conn.sendall(order("ok") + BEHIND[behind]())
-        until(lambda: held(p) > before)
+        wait_until(lambda: held(p) > before)
         leave(conn)
-        until(lambda: held(p) == before)
+        wait_until(lambda: held(p) == before)
         go_on()
         conn.close()
 
@@ -126,8 +135,10 @@
             conn.sendall(order("ok"))
             leave(conn)
         p.program.process.send_signal(signal.SIGCONT)
-        assert p.program.ask(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 200  # came after all of them
-        until(lambda: held(p) == before)
+        assert (
+            p.program.request(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 200
+        )  # came after all of them
+        wait_until(lambda: held(p) == before)
         go_on()
         for conn in crowd:
             conn.close()
@@ -139,10 +150,10 @@
         before = held(p)
         conn = p.program.connect()
         conn.sendall(order("ok") + order("ok", body=bytes(100))[:-50])
-        until(lambda: held(p) > before)
+        wait_until(lambda: held(p) > before)
         time.sleep(4.3)  # the limit for the rest of a request
         conn.close()
-        until(lambda: held(p) == before)
+        wait_until(lambda: held(p) == before)
         go_on()
 
 
@@ -152,29 +163,29 @@
         crowd = [p.program.connect() for _ in range(300)]
         for i, conn in enumerate(crowd):
             conn.sendall(order("ok") + (order("ok") + order("ok") if i % 2 else b""))
-        until(lambda: held(p) == before + 300)
+        wait_until(lambda: held(p) == before + 300)
         for i, conn in enumerate(crowd):
             (reset if i % 3 else close)(conn)
-        until(lambda: held(p) == before)
+        wait_until(lambda: held(p) == before)
         go_on()
 
 
 def test_who_goes_between_two_attempts_gets_no_second_one(tmp_path: Path) -> None:
-    with plant(tmp_path, settings=patient()) as p:
+    with running_proxy(tmp_path, settings=patient()) as p:
         node = p.nodes[0]
         watched(p)
         before = held(p)
         conn = p.program.connect()
         conn.sendall(order("full", X_Request_ID="turned-away"))
-        until(lambda: node.seen)  # and now the proxy waits until it may ask this node again
+        wait_until(lambda: node.requests)  # and now the proxy waits until it may ask this node again
         conn.close()
-        until(lambda: held(p) <= before + 1)  # the connection to the node stays
+        wait_until(lambda: held(p) <= before + 1)  # the connection to the node stays
         # It would have gone first, as it had come first.
-        assert p.program.ask(order("ok", X_Request_ID="last"))[0] == 200
+        assert p.program.request(order("ok", X_Request_ID="last"))[0] == 200
         assert ids(p) == ["turned-away", "last"]
 
 
-class Slow(Node):
+class Slow(ScriptedNode):
     """A node that takes no connection until `opens`: until then the system has one in its queue, and no place more."""
 
     def __init__(self) -> None:
@@ -186,11 +197,11 @@
         self.shut.wait()
         self.sock.listen(0)
         self.crowd = [socket.create_connection(self.sock.getsockname())]
-        self.go.wait(20)
+        self.release.wait(20)
         super()._accept()
 
 
-def connecting(p: Plant, port: int) -> bool:
+def connecting(p: ProxyRig, port: int) -> bool:
     """Whether somebody's connection to this port is coming up."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return any(row[2].endswith(f":{port:04X}") and row[3] == "02" for row in rows)
@@ -202,20 +213,20 @@
 ) -> None:
     # A quarter of the aim is how long a withdrawn call is taken to occupy its node.
     told = patient(8_000_000, may_cancel=may_cancel, connect_timeout_us=10_000_000)
-    with plant(tmp_path, kind=Slow, settings=told) as p, ThreadPoolExecutor() as pool:
+    with running_proxy(tmp_path, kind=Slow, settings=told) as p, ThreadPoolExecutor() as pool:
         node = p.nodes[0]
         assert isinstance(node, Slow)
-        until(lambda: hasattr(node, "crowd"))
+        wait_until(lambda: hasattr(node, "crowd"))
         watched(p)
         before = held(p)
         conn = p.program.connect()
         conn.sendall(order("ok", X_Request_ID="gone"))
-        until(lambda: connecting(p, node.sock.getsockname()[1]))
+        wait_until(lambda: connecting(p, node.sock.getsockname()[1]))
         conn.close()
-        until(lambda: held(p) <= before + 1)  # what comes up to the node may go on
-        node.go.set()
-        assert pool.submit(p.program.ask, order("ok", X_Request_ID="last")).result(20)[0] == 200
-        until(lambda: not connecting(p, node.sock.getsockname()[1]))
+        wait_until(lambda: held(p) <= before + 1)  # what comes up to the node may go on
+        node.release.set()
+        assert pool.submit(p.program.request, order("ok", X_Request_ID="last")).result(20)[0] == 200
+        wait_until(lambda: not connecting(p, node.sock.getsockname()[1]))
         assert ids(p) == ["last"]
 
 
@@ -247,10 +258,10 @@
         conn = p.program.connect()
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
         conn.sendall(order("ok"))
-        until(lambda: held(p) > before)
+        wait_until(lambda: held(p) > before)
         assert fill(conn) > 300_000
         leave(conn)
-        until(lambda: held(p) == before)
+        wait_until(lambda: held(p) == before)
         go_on()
         conn.close()
 
@@ -258,9 +269,12 @@
 def test_what_was_taken_ahead_of_its_turn_is_answered_in_order_and_bounded(tmp_path: Path) -> None:
     """Each order behind one that waits gets its own answer; of all that callers send ahead only so much is held."""
     few = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
-    with plant(tmp_path, settings=patient(may_cancel=False), limits=few) as p, ThreadPoolExecutor() as pool:
-        first = pool.submit(p.program.ask, order("wait"))
-        assert p.nodes[0].waiting.acquire(timeout=20)
+    with (
+        running_proxy(tmp_path, settings=patient(may_cancel=False), limits=few) as p,
+        ThreadPoolExecutor() as pool,
+    ):
+        first = pool.submit(p.program.request, order("wait"))
+        assert p.nodes[0].held.acquire(timeout=20)
         crowd = [p.program.connect() for _ in range(12)]
         bodies = [bytes([i]) * 30_000 for i in range(100)]
         sending = [
@@ -269,12 +283,12 @@
         time.sleep(0.5)  # what is not taken by now stays where it is
         memory = Path(f"/proc/{p.program.process.pid}/status").read_text()
         assert int(memory.partition("VmRSS:")[2].split()[0]) < 64 * 1024
-        p.nodes[0].go.set()
+        p.nodes[0].release.set()
         assert first.result(20)[0] == 200
         served = 0
         for conn in crowd:
             for body in bodies:
-                status, _, got = answer(conn)
+                status, _, got = read_response(conn)
                 assert (status, got) in ((200, body), (503, b"refused\n"))
                 served += status == 200
             conn.close()
@@ -282,31 +296,31 @@
         assert not [future.result(20) for future in sending if future.result(20)]
 
 
-class Sluggish(Node):
+class Sluggish(ScriptedNode):
     """Takes a head, and the body only when it is let."""
 
     def _serve(self, conn: socket.socket) -> None:
         with conn:
             head, got = read_head(conn), 0
-            self.waiting.release()
-            self.go.wait(20)
-            while head and got < int(field(head, "content-length")):
+            self.held.release()
+            self.release.wait(20)
+            while head and got < int(header_value(head, "content-length")):
                 got += len(piece := conn.recv(65536))
                 if not piece:
-                    self.left.release()
+                    self.disconnected.release()
                     return
-            self.seen.append(head)
-            self.reply(conn, head, b"")
+            self.requests.append(head)
+            self.respond(conn, head, b"")
 
 
 def test_who_goes_while_its_order_is_being_written_is_not_written_whole(tmp_path: Path) -> None:
-    with plant(tmp_path, kind=Sluggish, settings=patient(may_cancel=False)) as p:
+    with running_proxy(tmp_path, kind=Sluggish, settings=patient(may_cancel=False)) as p:
         watched(p)
         before = held(p)
         conn = p.program.connect()
         conn.sendall(order("ok", body=bytes(12_000_000), X_Request_ID="gone"))
-        assert p.nodes[0].waiting.acquire(timeout=20)
+        assert p.nodes[0].held.acquire(timeout=20)
         conn.close()
-        until(lambda: held(p) <= before + 1)
-        p.nodes[0].go.set()
-        assert p.nodes[0].left.acquire(timeout=20) and not p.nodes[0].seen
+        wait_until(lambda: held(p) <= before + 1)
+        p.nodes[0].release.set()
+        assert p.nodes[0].disconnected.acquire(timeout=20) and not p.nodes[0].requests
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,12 +15,21 @@
 from hypothesis import given
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
-from plant import LOOK, Plant, Program, answer, member, order, plant, until
+from proxy_rig import (
+    SAFE_CLASS,
+    ProxyProcess,
+    ProxyRig,
+    build_request,
+    node_entry,
+    read_response,
+    running_proxy,
+    wait_until,
+)
 
-from slatehub.handover.link import Link
-from slatehub.handover.place import place_of
-from slatehub.handover.succession import Succession
-from slatehub.handover.words import LARGEST, BadWords, Words, pack
+from slatehub.handover.hot_restart import HotRestart
+from slatehub.handover.link import ProcessLink
+from slatehub.handover.messages import MAX_LINE_BYTES, MessageDecoder, MessageError, pack
+from slatehub.handover.paths import shared_path
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -32,7 +41,7 @@
 def test_words_come_through_whole_however_they_are_cut(
     trees: list[dict[str, object]], data: st.DataObject
 ) -> None:
-    raw, words, found = b"".join(pack(t) for t in trees), Words(), []
+    raw, words, found = b"".join(pack(t) for t in trees), MessageDecoder(), []
     while raw:
         cut = data.draw(st.integers(1, len(raw)))
         found += words.feed(raw[:cut])
@@ -41,21 +50,21 @@
 
 
 @pytest.mark.parametrize(
-    "raw", [b"nonsense\n", b"[1]\n", b"\xff\n", b"[" * 99_999 + b"\n", b"x" * (LARGEST + 1)]
+    "raw", [b"nonsense\n", b"[1]\n", b"\xff\n", b"[" * 99_999 + b"\n", b"x" * (MAX_LINE_BYTES + 1)]
 )
 def test_nonsense_is_told_as_such(raw: bytes) -> None:
-    with pytest.raises(BadWords):
-        Words().feed(raw)
+    with pytest.raises(MessageError):
+        MessageDecoder().feed(raw)
 
 
 @contextmanager
 def two(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int = 2
-) -> Iterator[tuple[Plant, list[Program]]]:
+) -> Iterator[tuple[ProxyRig, list[ProxyProcess]]]:
     """A proxy at work, and a list that takes further processes of it."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    more: list[Program] = []
-    with plant(tmp_path, nodes=nodes, mgmt="127.0.0.1:0") as p:
+    more: list[ProxyProcess] = []
+    with running_proxy(tmp_path, nodes=nodes, mgmt="127.0.0.1:0") as p:
         try:
             yield p, more
         finally:
@@ -65,11 +74,11 @@
                 assert not [x for x in program.log if "Traceback" in x or "fault" in x]
 
 
-def second(tmp_path: Path, p: Plant) -> Program:
+def second(tmp_path: Path, p: ProxyRig) -> ProxyProcess:
     """`run` started beside the process that is there."""
-    members = [member(f"s-{i}", node.address) for i, node in enumerate(p.nodes)]
-    p.discovery.tell(members, complete=True)
-    return Program(tmp_path, members, p.discovery.address, mgmt="127.0.0.1:0")
+    members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(p.nodes)]
+    p.discovery.push(members, complete=True)
+    return ProxyProcess(tmp_path, members, p.discovery.address, mgmt="127.0.0.1:0")
 
 
 class Load:
@@ -86,8 +95,8 @@
             thread.start()
 
     def _ask(self, conn: socket.socket) -> bool:
-        conn.sendall(order("ok", LOOK))
-        status, head, _ = answer(conn)
+        conn.sendall(build_request("ok", SAFE_CLASS))
+        status, head, _ = read_response(conn)
         self.served += status == 200
         if status not in (200, 503):
             self.lost.append(head)
@@ -120,38 +129,44 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with two(tmp_path, monkeypatch) as (p, more):
-        assert p.program.call("PUT", "/nodes/s-0/maint") == 200
-        load = Load(p.program.peer)
+        assert p.program.management_call("PUT", "/nodes/s-0/maint") == 200
+        load = Load(p.program.address)
         try:
-            until(lambda: load.served > 50)
+            wait_until(lambda: load.served > 50)
             more.append(second(tmp_path, p))
-            assert more[0].call("GET", "/healthcheck") == 200 and more[0].peer == p.program.peer
-            assert p.program.ask(READY)[0] == 200
+            assert (
+                more[0].management_call("GET", "/healthcheck") == 200 and more[0].address == p.program.address
+            )
+            assert p.program.request(READY)[0] == 200
             p.program.process.send_signal(signal.SIGTERM)
             assert p.program.process.wait(20) == 0
             before = load.served
-            until(lambda: load.served > before + 50)
+            wait_until(lambda: load.served > before + 50)
         finally:
             load.end()
         assert not load.lost and load.reopened <= 2
-        assert not p.nodes[0].seen  # out by hand at the old one, before the new one started
-        assert more[0].call("PUT", "/nodes/s-0/ready") == 200
-        until(lambda: more[0].ask(order("ok", LOOK)) and p.nodes[0].seen)
+        assert not p.nodes[0].requests  # out by hand at the old one, before the new one started
+        assert more[0].management_call("PUT", "/nodes/s-0/ready") == 200
+        wait_until(lambda: more[0].request(build_request("ok", SAFE_CLASS)) and p.nodes[0].requests)
 
 
 def test_a_call_at_either_process_binds_both(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with two(tmp_path, monkeypatch) as (p, more), p.program.connect() as kept:
-        kept.sendall(order("ok"))
-        answer(kept)
+        kept.sendall(build_request("ok"))
+        read_response(kept)
         more.append(second(tmp_path, p))
         for at, other in ((p.program, more[0]), (more[0], p.program)):
-            assert at.call("PUT", "/nodes/s-1/maint") == 200
-            assert other.call("PUT", "/nodes/s-1/ready") == 200
-        assert p.program.call("PUT", "/nodes/s-0/maint") == 200 == p.program.call("PUT", "/healthcheck/fail")
-        seen = len(p.nodes[0].seen)
+            assert at.management_call("PUT", "/nodes/s-1/maint") == 200
+            assert other.management_call("PUT", "/nodes/s-1/ready") == 200
+        assert (
+            p.program.management_call("PUT", "/nodes/s-0/maint")
+            == 200
+            == p.program.management_call("PUT", "/healthcheck/fail")
+        )
+        seen = len(p.nodes[0].requests)
         for _ in range(20):
-            assert more[0].ask(order("ok", LOOK))[0] == 200
-        assert len(p.nodes[0].seen) == seen and more[0].ask(READY)[0] == 503
+            assert more[0].request(build_request("ok", SAFE_CLASS))[0] == 200
+        assert len(p.nodes[0].requests) == seen and more[0].request(READY)[0] == 503
 
 
 def test_the_old_process_serves_on_when_the_new_one_dies(
@@ -163,10 +178,10 @@
             assert any("takes over" in x for x in more[-1].log)
             more[-1].process.kill()
             more[-1].process.wait()
-            until(lambda: sum("the new process has gone" in x for x in p.program.log) == len(more))
+            wait_until(lambda: sum("the new process has gone" in x for x in p.program.log) == len(more))
             with p.program.connect() as conn:
-                conn.sendall(order("ok"))
-                status, head, _ = answer(conn)
+                conn.sendall(build_request("ok"))
+                status, head, _ = read_response(conn)
                 assert status == 200 and "Connection: close" not in head
 
 
@@ -177,10 +192,10 @@
         more.append(second(tmp_path, p))
         p.program.process.kill()
         p.program.process.wait()
-        until(lambda: any("the old process has gone" in x for x in more[0].log))
-        assert more[0].ask(order("ok"))[0] == 200
+        wait_until(lambda: any("the old process has gone" in x for x in more[0].log))
+        assert more[0].request(build_request("ok"))[0] == 200
         more.append(second(tmp_path, p))  # and hands over in its turn
-        assert any("takes over" in x for x in more[1].log) and more[1].ask(order("ok"))[0] == 200
+        assert any("takes over" in x for x in more[1].log) and more[1].request(build_request("ok"))[0] == 200
 
 
 def test_a_socket_of_a_process_long_gone_stops_nobody(
@@ -189,9 +204,9 @@
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     monkeypatch.chdir(tmp_path)  # the system takes short names only
     with socket.socket(socket.AF_UNIX) as stale:
-        stale.bind(place_of("n0", "sock").name)
+        stale.bind(shared_path("n0", "sock").name)
     with two(tmp_path, monkeypatch) as (p, _):
-        assert p.program.ask(order("ok"))[0] == 200
+        assert p.program.request(build_request("ok"))[0] == 200
 
 
 def test_foreign_words_at_the_socket_disturb_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,12 +215,12 @@
         for raw in (b"\n", b'{"version": 99, "name": "n0"}\n', b'{"version": 1, "name": "other"}\n', b""):
             with socket.socket(socket.AF_UNIX) as conn:
                 monkeypatch.chdir(tmp_path)
-                conn.connect(place_of("n0", "sock").name)
+                conn.connect(shared_path("n0", "sock").name)
                 conn.sendall(raw)
                 conn.shutdown(socket.SHUT_WR)
                 assert conn.recv(10) == b""
         more.append(second(tmp_path, p))
-        assert any("takes over" in x for x in more[0].log) and more[0].ask(order("ok"))[0] == 200
+        assert any("takes over" in x for x in more[0].log) and more[0].request(build_request("ok"))[0] == 200
 
 
 class Alone:
@@ -214,23 +229,23 @@
     def __init__(self) -> None:
         self.said: list[object] = []
 
-    def holds(self) -> dict[str, object]:
+    def export_state(self) -> dict[str, object]:
         return {"out": {}, "back": {}, "drained": False}
 
-    def listener(self, listen: object) -> None:
+    def get_listener(self, listen: object) -> None:
         return None
 
-    def do(self, tree: dict[str, object]) -> int:
+    def apply_operation(self, tree: dict[str, object]) -> int:
         self.said.append(tree.get("call"))
         return 200
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         self.said.append("rest")
 
     def resume(self) -> None:
         self.said.append("resume")
 
-    def two(self, linked: bool) -> None: ...
+    def set_shared(self, linked: bool) -> None: ...
 
 
 def test_a_sibling_that_says_nothing_keeps_no_next_process_waiting(
@@ -238,23 +253,25 @@
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     old, new, listen = Alone(), Alone(), ("127.0.0.1", 1)
-    first = Succession("n0", listen, old)
-    first.serve()
+    first = HotRestart("n0", listen, old)
+    first.announce_serving()
     mute = [gsocket.socket(gsocket.AF_UNIX, gsocket.SOCK_STREAM) for _ in range(3)]
     for sock in mute:
         sock.connect(str(first.path))
     mute[0].sendall(b'{"vers')  # half a word
     gevent.sleep(0)
-    second = Succession("n0", listen, new)
-    assert second.meet() is not None
-    second.serve()
+    second = HotRestart("n0", listen, new)
+    assert second.connect_to_predecessor() is not None
+    second.announce_serving()
     assert (
-        old.said == ["rest"] and second.tell({"call": "fail", "ident": ""}) and old.said == ["rest", "fail"]
+        old.said == ["rest"]
+        and second.forward_operation({"call": "fail", "ident": ""})
+        and old.said == ["rest", "fail"]
     )
     for sock in mute:
         sock.close()
-    assert second.before
-    second.before.close()
+    assert second.predecessor
+    second.predecessor.close()
     while "resume" not in old.said:  # the link has ended: nobody may be left without a door
         gevent.sleep(0.001)
 
@@ -263,19 +280,19 @@
 def test_odd_words_on_a_link_are_no_fault_and_never_a_yes(odd: object) -> None:
     ours, theirs = gsocket.socketpair()
     heard: list[object] = []
-    ended: list[Link] = []
+    ended: list[ProcessLink] = []
 
     def answer(tree: dict[str, object]) -> dict[str, object]:
         heard.append(tree)
         return {"status": 200}
 
-    link = Link(ours, Words(), [], answer, ended.append)
+    link = ProcessLink(ours, MessageDecoder(), [], answer, ended.append)
     theirs.sendall(pack({"re": odd}) + pack({"call": odd, "ident": odd, "n": odd}))
     while not heard:
         gevent.sleep(0.001)
-    two = Succession("n0", ("127.0.0.1", 1), Alone())
-    two.before = link
-    asked = gevent.spawn(two.tell, {"call": "ok"})
+    two = HotRestart("n0", ("127.0.0.1", 1), Alone())
+    two.predecessor = link
+    asked = gevent.spawn(two.forward_operation, {"call": "ok"})
     gevent.sleep(0)
     theirs.sendall(pack({"re": 1, "status": odd}))
     assert asked.get(timeout=20) is False and link.open
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -15,23 +15,23 @@
 from hypothesis import given
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
-from plant import LOOK, answer, order, plant, settings
+from proxy_rig import SAFE_CLASS, build_request, read_response, running_proxy, settings
 
 from paddlestep import Arrival, Balancer, Entry, ListKind, ListUpdate, Outcome, Send, Status
 from paddlestep.adapter import run as adapter
 from paddlestep.wire import WireError, parse_settings
-from slatehub.core.bounds import BODY_LIMIT
+from slatehub.core.limits import MAX_BUFFERED_BODY_BYTES
 from slatehub.decisions.maintenance import Maintenance
 from slatehub.discovery import node_list
 from slatehub.discovery.node_list import NodeList
-from slatehub.drivers.line import Broken, Reply
-from slatehub.fronts.check import Bad, Request
-from slatehub.fronts.http1.taker import Taker
-from slatehub.handover.words import BadWords, Words
+from slatehub.drivers.upstream import UpstreamError, UpstreamResponse
+from slatehub.fronts.http1.request_parser import RequestParser
+from slatehub.fronts.validation import LocalResponse, ReceivedRequest
+from slatehub.handover.messages import MessageDecoder, MessageError
 from slatehub.mgmt.state import StateFile
 from slatehub.settings.errors import ConfigError
-from slatehub.settings.operator import read as read_operator
-from slatehub.settings.reader import load
+from slatehub.settings.operator import read_operator_file as read_operator
+from slatehub.settings.reader import load_config
 from slatelab.scenario import ScenarioError
 from slatelab.scenario import load as load_scenario
 
@@ -78,30 +78,30 @@
     """A desk and a machine room that only note what they are told."""
 
     def __init__(self) -> None:
-        self.idents: dict[int, str] = {}
-        self.left: dict[int, int] = {}
+        self.node_ids: dict[int, str] = {}
+        self.unavailable_since: dict[int, int] = {}
         self.entries: list[Entry] = []
         self.kinds: list[ListKind] = []
 
-    def listed(self, kind: ListKind, version: int = 0, entries: tuple[Entry, ...] = ()) -> None:
+    def update_nodes(self, kind: ListKind, version: int = 0, entries: tuple[Entry, ...] = ()) -> None:
         self.kinds.append(kind)
         self.entries += entries
 
-    def long_gone(self, most: int) -> list[int]:
+    def forget_removed_nodes(self, most: int) -> list[int]:
         return []
 
-    def place(self, endpoint: int, peer: Any, since: int = 0) -> None: ...
+    def set_node(self, endpoint: int, peer: Any, since: int = 0) -> None: ...
 
-    def forget(self, endpoint: int) -> None: ...
+    def close_node(self, endpoint: int) -> None: ...
 
-    def drop(self, endpoint: int) -> None: ...
+    def forget_node(self, endpoint: int) -> None: ...
 
 
 def read(path: Path) -> Any:
     """As `check-config` and SIGHUP read it; the list that it brings is looked at too."""
-    found = load({"EDGE_CONFIG": str(path)})
+    found = load_config({"EDGE_CONFIG": str(path)})
     heard: Any = Heard()
-    NodeList(found, heard, heard).start()
+    NodeList(found, heard, heard).load_known()
     return found
 
 
@@ -145,13 +145,13 @@
     for data in (*(whole[:n] for n in range(len(whole))), *wrong):
         put(file, data)
         with pytest.raises(ConfigError, match="EDGE_CONFIG"):
-            load({"EDGE_CONFIG": str(file)})
+            load_config({"EDGE_CONFIG": str(file)})
     deep: Any = "end"
     for _ in range(300):
         deep = {"a": [deep]}
     file.write_text(json.dumps(CONFIG | {"other": deep}))
     with pytest.raises(ConfigError, match="nested too deeply"):
-        load({"EDGE_CONFIG": str(file)})
+        load_config({"EDGE_CONFIG": str(file)})
 
 
 def test_an_operators_file_cut_at_any_byte_is_read_or_named(tmp_path: Path) -> None:
@@ -176,7 +176,7 @@
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     state, held = StateFile("n0"), Maintenance()
-    held.take_out("s-1", True, 5)
+    held.start_maintenance("s-1", True, 5)
     state.save(held)
     whole = state.path.read_bytes()
     tree = json.loads(whole)
@@ -184,20 +184,22 @@
     for data in (*(whole[:n] for n in range(len(whole))), *odd, b"[" * 100_000, b"0" * (3 << 20)):
         put(state.path, data)
         into = Maintenance()
-        into.take_out("s-9", True, 7)
+        into.start_maintenance("s-9", True, 7)
         state.load(into)
-        assert into.out["s-9"] == 7 and all(isinstance(t, int) and t > 0 for t in into.out.values())
+        assert into.started_at["s-9"] == 7 and all(
+            isinstance(t, int) and t > 0 for t in into.started_at.values()
+        )
 
 
 def test_words_of_a_sibling_cut_at_any_byte_are_waited_for_and_never_half_taken() -> None:
     whole = b'{"version":1,"name":"n0","listen":["127.0.0.1",1]}\n'
     for n in range(len(whole)):
-        words = Words()
+        words = MessageDecoder()
         assert words.feed(whole[:n]) == []
         assert words.feed(whole[n:]) == [json.loads(whole)]
     for data in (b"\n", b"[1]\n", b"{]\n", b"\xff\n", b"[" * 100_000 + b"\n", b"x" * (3 << 20)):
-        with pytest.raises(BadWords):
-            Words().feed(data)
+        with pytest.raises(MessageError):
+            MessageDecoder().feed(data)
 
 
 # ---------------------------------------------------------------- discovery
@@ -210,14 +212,19 @@
         file = tmp / "config.json"
         file.write_text(json.dumps(CONFIG))
         self.heard: Any = Heard()
-        self.list = NodeList(load({"EDGE_CONFIG": str(file)}), self.heard, self.heard)
+        self.list = NodeList(load_config({"EDGE_CONFIG": str(file)}), self.heard, self.heard)
         self.take({"revision": 5, "complete": True, "members": [MEMBER, MEMBER | {"id": "s-2"}]})
 
     def take(self, tree: Any) -> None:
-        self.list._take(tree, self.list._kind(tree))
+        self.list._apply(tree, self.list._kind(tree))
 
     def held(self) -> Any:
-        return dict(self.list.told), self.list.revision, dict(self.heard.idents), len(self.heard.entries)
+        return (
+            dict(self.list.reported),
+            self.list.revision,
+            dict(self.heard.node_ids),
+            len(self.heard.entries),
+        )
 
 
 NEWS = {"revision": 6, "complete": False, "members": [MEMBER | {"id": "s-3", "phase": "DRAINING"}]}
@@ -266,17 +273,17 @@
     model = ListModel(tmp_path)
     twice = [MEMBER | {"phase": "DRAINING"}, MEMBER | {"up_since_ms": 9}]
     model.take({"revision": 7, "complete": False, "members": twice})
-    assert [e.since_us for e in model.heard.entries[2:]] == [9_000] and len(model.list.told) == 2
+    assert [e.since_us for e in model.heard.entries[2:]] == [9_000] and len(model.list.reported) == 2
     model.take({"revision": 8, "complete": True, "members": []})
-    assert not model.list.told
+    assert not model.list.reported
     model.take({"revision": 2, "complete": True, "members": [MEMBER]})  # another history, and whole
-    assert list(model.list.told) == ["s-1"] and model.list.revision == 2
+    assert list(model.list.reported) == ["s-1"] and model.list.revision == 2
 
 
 def test_a_huge_list_is_no_list_and_ids_that_were_never_taken_are_not_kept(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_list, "MOST_NODES", 50)
+    monkeypatch.setattr(node_list, "MAX_NODES", 50)
     model = ListModel(tmp_path)
     before = model.held()
     for complete in (True, False):
@@ -294,18 +301,21 @@
 # ---------------------------------------------------------------- callers and nodes over HTTP/1.1
 
 NOISE = st.lists(st.tuples(st.integers(0, 400), st.binary(max_size=3)), min_size=1, max_size=3)
-ASKS = [order("ok"), order("echo", body=b"0123456789"), order("ok", LOOK),
-        order("echo", Content_Length="", Transfer_Encoding="chunked") + b"3\r\nabc\r\n0\r\nX-T: 1\r\n\r\n"]  # fmt: skip
+ASKS = [build_request("ok"), build_request("echo", body=b"0123456789"), build_request("ok", SAFE_CLASS),
+        build_request("echo", Content_Length="", Transfer_Encoding="chunked")
+        + b"3\r\nabc\r\n0\r\nX-T: 1\r\n\r\n"]  # fmt: skip
 
 
 @pytest.mark.parametrize("whole", ASKS, ids=range(len(ASKS)))
 def test_a_request_cut_at_any_byte_is_no_request(whole: bytes) -> None:
     for n in range(len(whole)):
-        taker = Taker()
+        taker = RequestParser()
         taker.feed(whole[:n])
-        assert not taker.done and not taker.fault
+        assert not taker.parsed and not taker.error
         taker.feed(whole[n:])
-        assert [type(x) for x in taker.done] == [Request] and not taker.busy and not taker.body
+        assert (
+            [type(x) for x in taker.parsed] == [ReceivedRequest] and not taker.in_request and not taker.body
+        )
 
 
 @hypo(max_examples=300, derandomize=True, deadline=None, database=None)
@@ -315,12 +325,12 @@
 ) -> None:
     for at, put in noise:
         whole = whole[: at % len(whole)] + put + whole[at % len(whole) + 1 :]
-    taker = Taker()
+    taker = RequestParser()
     taker.feed(whole)
     taker.feed(b"\r\n" * 4)
-    for item in taker.done:
-        assert isinstance(item, Request) or 400 <= item.status < 500
-        if isinstance(item, Request):
+    for item in taker.parsed:
+        assert isinstance(item, ReceivedRequest) or 400 <= item.status < 500
+        if isinstance(item, ReceivedRequest):
             framings = {"content-length", "transfer-encoding"} & item.headers.keys()
             assert len(framings) < 2 and item.headers.get("transfer-encoding", "chunked").lower() == "chunked"
 
@@ -329,10 +339,12 @@
     "first, second", [("gzip", "chunked"), ("chunked", "chunked"), ("chunked", "identity")]
 )
 def test_a_coding_that_stands_twice_is_no_request(first: str, second: str) -> None:
-    taker = Taker()
-    taker.feed(order("echo", Content_Length="", Transfer_Encoding=f"{first}\r\nTransfer-Encoding: {second}"))
+    taker = RequestParser()
+    taker.feed(
+        build_request("echo", Content_Length="", Transfer_Encoding=f"{first}\r\nTransfer-Encoding: {second}")
+    )
     taker.feed(b"3\r\nabc\r\n0\r\n\r\n")
-    assert [type(x) for x in taker.done] == [Bad]
+    assert [type(x) for x in taker.parsed] == [LocalResponse]
 
 
 ANSWERS = [
@@ -345,11 +357,11 @@
 @pytest.mark.parametrize("whole", ANSWERS, ids=range(len(ANSWERS)))
 def test_an_answer_cut_at_any_byte_is_not_whole(whole: bytes) -> None:
     for n in range(len(whole)):
-        reply = Reply(BODY_LIMIT)
+        reply = UpstreamResponse(MAX_BUFFERED_BODY_BYTES)
         reply.feed(whole[:n])
-        assert not reply.whole
-        with pytest.raises(Broken):
-            reply.ended()
+        assert not reply.complete
+        with pytest.raises(UpstreamError):
+            reply.on_eof()
         assert not reply.reusable
 
 
@@ -358,14 +370,14 @@
 def test_an_answer_spoilt_anywhere_is_whole_or_broken(whole: bytes, noise: list[tuple[int, bytes]]) -> None:
     for at, put in noise:
         whole = whole[: at % len(whole)] + put + whole[at % len(whole) + 1 :]
-    reply = Reply(BODY_LIMIT)
+    reply = UpstreamResponse(MAX_BUFFERED_BODY_BYTES)
     try:
         reply.feed(whole)
         reply.feed(b"\r\n" * 4)
-        reply.ended()
-    except Broken:
+        reply.on_eof()
+    except UpstreamError:
         pass
-    assert not reply.whole or 200 <= reply.status < 1000
+    assert not reply.complete or 200 <= reply.status < 1000
 
 
 # ---------------------------------------------------------------- the simulator's wire, scenarios
@@ -431,15 +443,15 @@
 
 
 def test_after_all_that_a_good_request_is_served_and_nothing_was_kept(tmp_path: Path) -> None:
-    with plant(tmp_path, mgmt="127.0.0.1:0") as p:
-        whole = order("echo", body=b"0123456789")
+    with running_proxy(tmp_path, mgmt="127.0.0.1:0") as p:
+        whole = build_request("echo", body=b"0123456789")
         for n in range(0, len(whole), 5):
             with p.program.connect() as conn:
                 conn.sendall(whole[:n])
         both = b"PUT /nodes/s-0/maint HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
         long, odd = b"GET /" + b"x" * 40_000 + b" HTTP/1.1\r\n\r\n", b"PUT /nodes/%ff/maint HTTP/1.1\r\n\r\n"
         for raw in (both, long, odd, b"\x00" * 100):
-            assert p.program.call("", "", raw=raw) >= 400
+            assert p.program.management_call("", "", raw=raw) >= 400
         assert not p.seen
         for bad in (
             b"[",
@@ -448,10 +460,10 @@
             b'{"revision":9,"complete":true}',
             b'{"revision":1e999}',
         ):
-            p.discovery.raw(bad)  # each is asked for anew, as a whole list
+            p.discovery.push_raw(bad)  # each is asked for anew, as a whole list
         with p.program.connect() as conn:
             for _ in range(3):
-                conn.sendall(order("ok"))
-                assert answer(conn)[0] == 200
-        assert p.program.call("GET", "/healthcheck") == 200 and len(p.seen) == 3
+                conn.sendall(build_request("ok"))
+                assert read_response(conn)[0] == 200
+        assert p.program.management_call("GET", "/healthcheck") == 200 and len(p.seen) == 3
         assert not [line for line in p.program.log if "Traceback" in line]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -26,9 +26,9 @@
     ("file", "line"),
     [
         ("core/stages.py", "from slatehub.drivers import clock"),  # back up
-        ("core/desk.py", "import time"),
-        ("decisions/shares.py", "from gevent import socket"),
-        ("fronts/check.py", "from slatehub.nodes import outcomes"),  # a sibling
+        ("core/dispatcher.py", "import time"),
+        ("decisions/resource_budget.py", "from gevent import socket"),
+        ("fronts/validation.py", "from slatehub.nodes import outcomes"),  # a sibling
         ("nodes/outcomes.py", "import slatelab"),
     ],
 )
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -26,21 +26,21 @@
     Settings,
     Status,
 )
-from slatehub.core.desk import SalesDesk
-from slatehub.core.jobs import Answer, Attempt, Job, Order, Printed, Verdict
-from slatehub.decisions.shares import split
-from slatehub.decisions.stall import Stalls
+from slatehub.core.dispatcher import Dispatcher
+from slatehub.core.jobs import Answer, AnswerStatus, Attempt, Job, NodeRequest, NodeResponse
+from slatehub.decisions.resource_budget import split_budget
+from slatehub.decisions.stall import StallDetector
 from slatehub.discovery import node_list
 from slatehub.discovery.node_list import NodeList
-from slatehub.drivers import line as lines
-from slatehub.drivers.clock import Alarm, clock
-from slatehub.drivers.desk import DeskDriver
-from slatehub.drivers.line import Broken, Line, Stale
-from slatehub.fronts.check import Request
-from slatehub.fronts.http1 import screens
-from slatehub.fronts.http1.screens import OrderHall, OrderScreen
-from slatehub.nodes.http1 import Errand, MachineRoom
-from slatehub.settings.operator import Operator
+from slatehub.drivers import upstream as lines
+from slatehub.drivers.clock import Timer, clock
+from slatehub.drivers.dispatcher import DispatcherDriver
+from slatehub.drivers.upstream import StaleConnection, UpstreamConnection, UpstreamError
+from slatehub.fronts.http1 import server
+from slatehub.fronts.http1.server import CallerConnection, HttpServer
+from slatehub.fronts.validation import ReceivedRequest
+from slatehub.nodes.http1 import NodePool, UpstreamExchange
+from slatehub.settings.operator import OperatorConfig
 
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 LAST = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
@@ -60,7 +60,7 @@
         super().__init__()
         self.listener = listen()
         self.closes = 0
-        self.line = Line(self.listener.getsockname(), self.closed)
+        self.line = UpstreamConnection(self.listener.getsockname(), self.closed)
         self.line.connect()
         self.peer, _ = self.listener.accept()
         self.model, self.gone, self.noise = "fresh", False, False
@@ -71,7 +71,7 @@
     @precondition(lambda self: self.model in ("fresh", "idle") and not self.gone and not self.noise)
     @rule()
     def write(self) -> None:
-        assert self.model == "fresh" or self.line.alive()
+        assert self.model == "fresh" or self.line.is_usable()
         self.line.write([b"GET / HTTP/1.1\r\n\r\n"])
         assert self.peer.recv(100) == b"GET / HTTP/1.1\r\n\r\n" and self.line.written
         self.model = "busy"
@@ -84,7 +84,7 @@
         try:
             self.line.write([b"GET / HTTP/1.1\r\n\r\n"])
             raise AssertionError("the request went out whole")
-        except Stale:
+        except StaleConnection:
             assert not self.line.written and (not noise or self.peer.recv(100) == b"GET / HTTP/1.1\r\n\r")
             self.line.close()
             self.gone, self.model = self.gone or not noise, "closed"
@@ -97,9 +97,9 @@
         self.peer.sendall(answer[cut:])
         reply = self.line.read(100)
         assert (reply.status, bytes(reply.body)) == (200, b"ok")
-        # What follows the answer is seen at once if it came with it, and by `alive` if it comes later.
+        # What follows the answer is seen at once if it came with it, and by `is_usable` if it comes later.
         if reply.reusable and keep:
-            self.line.park(clock() + 60_000_000, self.line.close)
+            self.line.mark_idle(clock() + 60_000_000, self.line.close)
             self.model, self.noise = "idle", surplus
         else:
             assert not keep or surplus
@@ -115,7 +115,7 @@
         try:
             self.line.read(100)
             raise AssertionError("half an answer was taken for a whole one")
-        except (Broken, OSError):
+        except (UpstreamError, OSError):
             self.line.close()
             self.model = "closed"
 
@@ -133,9 +133,9 @@
     @invariant()
     def agrees(self) -> None:
         assert self.line.state == self.model
-        assert self.line.alive() == (self.model == "idle" and not self.gone and not self.noise)
+        assert self.line.is_usable() == (self.model == "idle" and not self.gone and not self.noise)
         assert self.closes == (self.model == "closed")
-        assert (self.line.alarm is not None) == (self.model == "idle")
+        assert (self.line.timer is not None) == (self.model == "idle")
 
     def teardown(self) -> None:
         self.line.close()
@@ -156,26 +156,26 @@
         self.answers: list[tuple[str, Answer]] = []
         self.attempts: list[Attempt] = []
         settings = Settings((ServiceClass("orders"),), may_cancel=True)
-        self.core = SalesDesk(settings, 1, 100)
+        self.core = Dispatcher(settings, 1, 100)
         if module:
             self.core.balancer = module  # type: ignore[assignment]
-        self.desk = DeskDriver(self.core)
-        self.desk.open(self, self)
+        self.desk = DispatcherDriver(self.core)
+        self.desk.start(self, self)
 
     def answer(self, job: Job, answer: Answer) -> None:
-        self.answers.append((job.name, answer))
+        self.answers.append((job.request_id, answer))
 
     def send(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
 
-    def withdraw(self, attempt: Attempt) -> None:
-        self.desk.ended(attempt, Status.CANCELLED)
+    def cancel(self, attempt: Attempt) -> None:
+        self.desk.attempt_ended(attempt, Status.CANCELLED)
 
     def watch(self, on: bool) -> None: ...
 
     def job(self, name: str, left: int = 10_000_000) -> Job:
-        job = Job(name, 0, 0, clock() + left, Order("POST", "/orders", ()), self)
-        assert self.desk.order(job)
+        job = Job(name, 0, 0, clock() + left, NodeRequest("POST", "/orders", ()), self)
+        assert self.desk.submit(job)
         gevent.sleep(0)
         return job
 
@@ -187,22 +187,24 @@
 
 def test_each_job_gets_one_answer_and_each_send_one_outcome() -> None:
     stand = Stand()
-    stand.desk.listed(ListKind.FULL, 1, (Entry(1),))
+    stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1),))
     stand.job("a")
     rest()
     (attempt,) = stand.attempts
-    stand.desk.ended(attempt, Status.OK, (), "print")
-    stand.desk.ended(attempt, Status.RESET)
+    stand.desk.attempt_ended(attempt, Status.OK, (), "print")
+    stand.desk.attempt_ended(attempt, Status.RESET)
     rest()
-    assert stand.answers == [("a", Answer(Verdict.SERVED, "print"))]
-    assert not stand.desk.ledger.jobs and not stand.core.balancer.requests
+    assert stand.answers == [("a", Answer(AnswerStatus.SERVED, "print"))]
+    assert not stand.desk.job_table.jobs and not stand.core.balancer.requests
 
 
-def room_for(stand: Stand, peer: Any, most: int = 9) -> MachineRoom:
+def room_for(stand: Stand, peer: Any, most: int = 9) -> NodePool:
     told = Settings((ServiceClass("orders"),), report_columns=("qps", "util"))
-    plant: Any = SimpleNamespace(settings=told, idle_us=30_000_000, reports=True, seed=1, operator=Operator())
-    room = MachineRoom(plant, stand.desk, most)
-    room.place(1, peer.getsockname())
+    plant: Any = SimpleNamespace(
+        settings=told, conn_idle_us=30_000_000, reports=True, seed=1, operator=OperatorConfig()
+    )
+    room = NodePool(plant, stand.desk, most)
+    room.set_node(1, peer.getsockname())
     return room
 
 
@@ -215,13 +217,13 @@
         rest()
         room.send(stand.attempts[0])
         gevent.sleep(0)  # the errand has asked for its connection and waits for it
-        stand.desk.left[1] = clock()
+        stand.desk.unavailable_since[1] = clock()
         conn, _ = peer.accept()
         assert conn.recv(100) == b""
         rest()
         assert [e.status for e in module.events if isinstance(e, Outcome)] == [
             Status.MOOT
-        ] and room.lines == 0
+        ] and room.open_connections == 0
 
 
 def test_a_node_told_to_drain_before_an_attempt_begins_is_not_even_connected_to() -> None:
@@ -232,11 +234,11 @@
         stand.job("a")
         rest()
         room.send(stand.attempts[0])
-        stand.desk.left[1] = clock()
+        stand.desk.unavailable_since[1] = clock()
         rest()
         assert [e.status for e in module.events if isinstance(e, Outcome)] == [
             Status.MOOT
-        ] and room.opened == 0
+        ] and room.connections_opened == 0
 
 
 @pytest.mark.parametrize("withdrawn", [False, True])
@@ -251,21 +253,21 @@
         stand.job("a")
         rest()
         asks = [1, 0]  # the node takes no handshake just now, then it does
-        room.pace.ask = lambda *_: asks.pop(0)  # type: ignore[method-assign]
-        errand = Errand(room, stand.attempts[0])
-        stand.attempts[0].errand = errand
+        room.connect_limiter.acquire = lambda *_: asks.pop(0)  # type: ignore[method-assign]
+        errand = UpstreamExchange(room, stand.attempts[0])
+        stand.attempts[0].exchange = errand
         gevent.sleep(0)
         assert asks == [0]  # it sleeps
         if withdrawn:
-            errand.over = True  # as `stop` leaves it, while the end of its greenlet is still on its way
+            errand.finished = True  # as `stop` leaves it, while the end of its greenlet is still on its way
         else:
-            stand.desk.gone(stand.attempts[0].job)
+            stand.desk.caller_disconnected(stand.attempts[0].job)
         while not errand.greenlet.dead:
             gevent.sleep(0.001)
-        assert room.lines == 0 and room.opened == 0
+        assert room.open_connections == 0 and room.connections_opened == 0
 
 
-def carried(peer: Any, *answers: bytes) -> tuple[list[Status], MachineRoom]:
+def carried(peer: Any, *answers: bytes) -> tuple[list[Status], NodePool]:
     """The outcomes that the module hears of when a node answers in these pieces, a turn of the loop apart."""
     module = Script(Send(1, 1))
     stand = Stand(module)
@@ -300,17 +302,19 @@
 def test_a_spoilt_answer_is_an_error_of_a_node_that_runs_and_its_connection_ends(
     pieces: list[bytes], status: Status, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(lines, "ANSWER_US", 50_000)
+    monkeypatch.setattr(lines, "RESPONSE_BODY_TIMEOUT_US", 50_000)
     with listen() as peer:
         ends, room = carried(peer, *pieces)
-        assert ends == [status] and room.lines == (status is Status.OK and b"ok" + WHOLE not in pieces)
+        assert ends == [status] and room.open_connections == (
+            status is Status.OK and b"ok" + WHOLE not in pieces
+        )
 
 
 @pytest.mark.parametrize("late", [WHOLE, b""])
 def test_a_connection_that_ends_or_speaks_at_the_next_request_is_passed_over(
     late: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(lines, "HOLD_S", 0.2)
+    monkeypatch.setattr(lines, "LAST_BYTE_DELAY_S", 0.2)
     with listen() as peer:
         module = Script(Send(1, 1), [], Send(2, 1))
         stand = Stand(module)
@@ -334,8 +338,12 @@
             first.close()
         with gevent.Timeout(20):
             second, _ = peer.accept()
-        assert second.recv(1000).endswith(b"\r\n\r\n") and room.lines == 1 and not stand.attempts[1].over
-        room.withdraw(stand.attempts[1])
+        assert (
+            second.recv(1000).endswith(b"\r\n\r\n")
+            and room.open_connections == 1
+            and not stand.attempts[1].finished
+        )
+        room.cancel(stand.attempts[1])
 
 
 def test_too_many_connections_fail_the_attempt_as_never_run_unless_an_idle_one_makes_room() -> None:
@@ -343,8 +351,8 @@
         module = Script(Send(1, 1), Send(1, 2))
         stand = Stand(module)
         room = room_for(stand, peer, most=1)
-        room.place(2, other.getsockname())
-        spare = room.open(room.machines[1])
+        room.set_node(2, other.getsockname())
+        spare = room.new_connection(room.nodes[1])
         stand.job("a")
         rest()
         room.send(stand.attempts[0])
@@ -352,11 +360,15 @@
         assert [e.status for e in module.events if isinstance(e, Outcome)] == [Status.CONNECT_FAILED]
         spare.connect()
         spare.write([b"GET / HTTP/1.1\r\n\r\n"])
-        room.park(room.machines[1], spare, 1)
+        room.release(room.nodes[1], spare, 1)
         room.send(stand.attempts[1])
         conn, _ = other.accept()
-        assert conn.recv(100).startswith(b"POST /orders") and spare.state == "closed" and room.lines == 1
-        room.withdraw(stand.attempts[1])
+        assert (
+            conn.recv(100).startswith(b"POST /orders")
+            and spare.state == "closed"
+            and room.open_connections == 1
+        )
+        room.cancel(stand.attempts[1])
 
 
 def test_a_connection_that_never_comes_up_has_not_run() -> None:
@@ -373,7 +385,7 @@
         room.send(stand.attempts[0])
         while not (ends := [e.status for e in module.events if isinstance(e, Outcome)]):
             gevent.sleep(0.005)
-        assert ends == [Status.CONNECT_FAILED] and room.lines == 0
+        assert ends == [Status.CONNECT_FAILED] and room.open_connections == 0
         for conn in crowd:
             conn.close()
 
@@ -386,21 +398,21 @@
         assert room_for(Stand(Script()), peer).report(text) == ()
 
 
-def hall_for(stand: Stand, most: int = 9, room: int = 1_000_000) -> OrderHall:
+def hall_for(stand: Stand, most: int = 9, room: int = 1_000_000) -> HttpServer:
     kind = ServiceClass("orders", Effect.UNSAFE)
     plant: Any = SimpleNamespace(
-        settings=Settings((kind,)), classes={"orders": 0}, accounts={}, operator=Operator()
+        settings=Settings((kind,)), classes={"orders": 0}, accounts={}, operator=OperatorConfig()
     )
-    hall = OrderHall(plant, stand.desk, most, room)
-    hall.stalls = Stalls(clock())  # not opened, it would pass for one that stood still
+    hall = HttpServer(plant, stand.desk, most, room)
+    hall.stall_detector = StallDetector(clock())  # not opened, it would pass for one that stood still
     return hall
 
 
-def screen_for(hall: OrderHall, data: bytes) -> tuple[Any, OrderScreen]:
+def screen_for(hall: HttpServer, data: bytes) -> tuple[Any, CallerConnection]:
     """A caller that has sent this, and its screen."""
     caller, sock = socket.socketpair()
-    screen = OrderScreen(hall, sock)
-    hall.screens[screen] = None
+    screen = CallerConnection(hall, sock)
+    hall.connections[screen] = None
     caller.sendall(data)
     rest()
     return caller, screen
@@ -414,28 +426,30 @@
 
 
 def test_what_is_over_is_let_go_of_at_once_without_the_collector() -> None:
-    kinds = (Request, Job, Attempt, Order, Printed, OrderScreen)
+    kinds = (ReceivedRequest, Job, Attempt, NodeRequest, NodeResponse, CallerConnection)
     gc.collect()
     others = [o for o in gc.get_objects() if type(o) in kinds]  # of desks that other tests have left open
     gc.disable()
     try:
         stand = Stand()
-        stand.desk.listed(ListKind.FULL, 1, (Entry(1),))
+        stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1),))
         hall = hall_for(stand)
         caller, screen = screen_for(hall, head("a", 3) + b"abc")
-        stand.desk.ended(stand.attempts.pop(), Status.OK, (), Printed(b"print", ""))
+        stand.desk.attempt_ended(stand.attempts.pop(), Status.OK, (), NodeResponse(b"print", ""))
         rest()
-        assert caller.recv(1000).endswith(b"print") and hall.weight == 0
+        assert caller.recv(1000).endswith(b"print") and hall.bytes_held == 0
         stand.answers.clear()
 
         def left() -> list[type]:
             return [type(o) for o in gc.get_objects() if type(o) in kinds and not any(o is x for x in others)]
 
-        assert left() == [OrderScreen]  # the connection stays open, and holds nothing of what went over it
+        assert left() == [
+            CallerConnection
+        ]  # the connection stays open, and holds nothing of what went over it
         del screen
         caller.close()
         with gevent.Timeout(20):
-            while hall.screens or left():
+            while hall.connections or left():
                 gevent.sleep(0.005)
     finally:
         gc.enable()
@@ -445,8 +459,14 @@
 def test_a_caller_that_sends_no_whole_request_is_not_waited_for(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name in ("SILENT_US", "FIRST_US", "SLOW_US", "KEEP_US", "BODY_FIRST_US"):
-        monkeypatch.setattr(screens, name, 60_000)
+    for name in (
+        "FIRST_BYTE_TIMEOUT_US",
+        "FIRST_REQUEST_TIMEOUT_US",
+        "REQUEST_TIMEOUT_US",
+        "KEEP_ALIVE_US",
+        "BODY_START_TIMEOUT_US",
+    ):
+        monkeypatch.setattr(server, name, 60_000)
     stand = Stand()
     hall = hall_for(stand)
     held, _ = screen_for(hall, head("whole"))  # no node to send to: it stays in hand
@@ -454,10 +474,12 @@
         caller, _ = screen_for(hall, sent)
         assert caller.recv(1000).startswith(b"HTTP/1.1 408" if sent else b"")
         caller.close()
-        while len(hall.screens) > 1:
+        while len(hall.connections) > 1:
             gevent.sleep(0.005)
-    stand.core._give_up(next(iter(stand.desk.ledger.jobs.values())), Answer(Verdict.OVERDUE), clock())
-    stand.desk._carry_out()
+    stand.core._give_up(
+        next(iter(stand.desk.job_table.jobs.values())), Answer(AnswerStatus.DEADLINE_EXCEEDED), clock()
+    )
+    stand.desk._execute_commands()
     assert held.recv(1000).startswith(b"HTTP/1.1 504")  # one whose whole request is in hand is still there
 
 
@@ -470,23 +492,23 @@
     second.close()
     first.sendall(b"x" * 10_000)
     with gevent.Timeout(20):
-        while "a" not in stand.desk.ledger.names:
+        while "a" not in stand.desk.job_table.by_request_id:
             gevent.sleep(0.005)
         first.close()
-        while hall.weight or hall.screens:
+        while hall.bytes_held or hall.connections:
             gevent.sleep(0.005)
 
 
 def test_who_says_nothing_makes_room_before_who_rests_and_who_sends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(screens, "GREEN_US", 0)
+    monkeypatch.setattr(server, "MIN_EVICTION_AGE_US", 0)
     hall = hall_for(Stand())
-    hall.opened = True
+    hall.started = True
     rests, resting = screen_for(hall, b"GET /ready HTTP/1.1\r\n\r\n")
     says_nothing, silent = screen_for(hall, b"")
     sends, sending = screen_for(hall, b"POST /or")
     left = []
     for _ in range(3):
-        assert hall._make_room()
+        assert hall._evict_connection()
         left.append(
             [name for name, s in (("r", resting), ("silent", silent), ("s", sending)) if not s.closed]
         )
@@ -499,7 +521,7 @@
 def test_callers_get_a_third_of_the_descriptors_and_more_whatever_the_memory(
     sockets: int, memory: int
 ) -> None:
-    callers, nodes, held = split(sockets, memory)
+    callers, nodes, held = split_budget(sockets, memory)
     assert callers > sockets // 3 and nodes >= sockets // 3 and callers + nodes + 16 <= sockets
     assert (callers + nodes) * 24 * 1024 + held * 4 // 3 <= (memory - 16) * 1024 * 1024
 
@@ -526,8 +548,8 @@
     stand = Stand(module)
     stand.job("a")
     rest()
-    assert stand.answers == [("a", Answer(Verdict.REFUSED, None, 250_000))]
-    assert not stand.attempts and not stand.desk.ledger.jobs
+    assert stand.answers == [("a", Answer(AnswerStatus.REFUSED, None, 250_000))]
+    assert not stand.attempts and not stand.desk.job_table.jobs
 
 
 def test_sends_beyond_the_most_are_moot() -> None:
@@ -549,10 +571,10 @@
     stand.job("b")
     rest()
     assert [name for name, _ in stand.answers] == ["a", "b"]
-    assert {answer.verdict for _, answer in stand.answers} == {Verdict.FAILED}
+    assert {answer.status for _, answer in stand.answers} == {AnswerStatus.FAILED}
     stand.job("c")
     rest()
-    assert [a.job.name for a in stand.attempts] == ["a", "c"]
+    assert [a.job.request_id for a in stand.attempts] == ["a", "c"]
 
 
 def test_a_job_that_the_module_forgets_is_answered_at_its_deadline() -> None:
@@ -560,12 +582,12 @@
     job = stand.job("a", left=20_000)
     while not stand.answers:
         gevent.sleep(0.005)
-    assert stand.answers == [("a", Answer(Verdict.OVERDUE))] and clock() >= job.deadline
+    assert stand.answers == [("a", Answer(AnswerStatus.DEADLINE_EXCEEDED))] and clock() >= job.deadline
 
 
 def test_an_alarm_that_is_rung_early_waits_for_the_rest() -> None:
     rung: list[int] = []
-    alarm = Alarm(clock() + 30_000, lambda: rung.append(clock()))
+    alarm = Timer(clock() + 30_000, lambda: rung.append(clock()))
     alarm._fire()  # as from a loop that has looked at its clock long ago
     assert not rung
     while not rung:
@@ -581,7 +603,7 @@
         ]  # the kernel's queue is full: no handshake ends
         stand = Stand(Script())
         room = room_for(stand, peer)
-        room.place(1, peer.getsockname(), clock())
+        room.set_node(1, peer.getsockname(), clock())
         attempts = [
             Attempt(stand.job(name, left=60_000_000), 0, 1, clock(), clock() + 2_000_000) for name in "abcde"
         ]
@@ -591,12 +613,12 @@
         with gevent.Timeout(20):
             while seen < 2:
                 gevent.sleep(0.005)
-                seen = max(seen, room.lines)
+                seen = max(seen, room.open_connections)
         gevent.sleep(0.05)
-        assert room.lines == 2
+        assert room.open_connections == 2
         for attempt in attempts:
-            room.withdraw(attempt)
-        assert room.lines == 0
+            room.cancel(attempt)
+        assert room.open_connections == 0
         for conn in crowd:
             conn.close()
 
@@ -606,29 +628,31 @@
     stand = Stand(module)
     with listen() as peer:
         room = room_for(stand, peer)
-        room.machines[1].peer = ("no..host", 1)  # what resolves it raises what nobody expects
+        room.nodes[1].address = ("no..host", 1)  # what resolves it raises what nobody expects
         stand.job("a")
         rest()
         room.send(stand.attempts[0])
         while not (ends := [e.status for e in module.events if isinstance(e, Outcome)]):
             gevent.sleep(0.001)
-        assert ends == [Status.CONNECT_FAILED] and room.lines == 0
+        assert ends == [Status.CONNECT_FAILED] and room.open_connections == 0
 
 
 def test_an_answer_to_a_request_that_has_ended_here_never_answers_the_next_one() -> None:
-    hall: Any = SimpleNamespace(desk=SimpleNamespace(gone=lambda job: None), weight=0, ahead=0)
-    hall.freed = gevent.event.Event()
-    hall.leave = lambda screen: None
+    hall: Any = SimpleNamespace(
+        dispatcher=SimpleNamespace(caller_disconnected=lambda job: None), bytes_held=0, bytes_read_ahead=0
+    )
+    hall.memory_released = gevent.event.Event()
+    hall.remove = lambda screen: None
     ours, theirs = socket.socketpair()
-    screen = OrderScreen(hall, ours)
+    screen = CallerConnection(hall, ours)
     left: list[str] = []
-    rest_: Any = SimpleNamespace(leave=lambda: left.append("left"))
+    rest_: Any = SimpleNamespace(close=lambda: left.append("left"))
     old, new = (Job(name, 0, 0, 1, None, screen) for name in ("old", "new"))
     screen.job = new
-    screen.answer(old, Answer(Verdict.SERVED, Printed(b"old", "", rest_)))
+    screen.answer(old, Answer(AnswerStatus.SERVED, NodeResponse(b"old", "", rest_)))
     assert not screen.result.ready() and left == ["left"]
-    screen.answer(new, Answer(Verdict.REFUSED))
-    assert screen.result.get(timeout=1) == Answer(Verdict.REFUSED)
+    screen.answer(new, Answer(AnswerStatus.REFUSED))
+    assert screen.result.get(timeout=1) == Answer(AnswerStatus.REFUSED)
     screen.close()
     theirs.close()
 
@@ -650,7 +674,7 @@
                 raise OSError("enough")
             return {"revision": 1, "complete": asked[0] == 1, "members": []}
 
-        monkeypatch.setattr(listing, "_ask", ask)
+        monkeypatch.setattr(listing, "_fetch", ask)
         monkeypatch.setattr(node_list.gevent, "sleep", waits.append)
         listing.watcher = gevent.getcurrent()  # type: ignore[assignment]
         listing._watch()
@@ -658,25 +682,33 @@
 
 
 def test_tables_of_nodes_do_not_grow_with_the_nodes_that_were(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_list, "MOST_GONE", 8)
+    monkeypatch.setattr(node_list, "MAX_REMOVED_NODES", 8)
     stand = Stand()
     plant: Any = SimpleNamespace(kinds={}, zones={}, known={})
     with listen() as peer:
         host, port = peer.getsockname()
         room = room_for(stand, peer)
         listing = NodeList(plant, stand.desk, room)
-        old = room.machines[1]
+        old = room.nodes[1]
         for n in range(100):
             for phase in ("SERVING", "DRAINING", "DELETED"):
                 node = {"id": f"s-{n}", "host_port": f"{host}:{port}", "phase": phase}
-                listing._take({"revision": n, "complete": False, "members": [node]}, ListKind.DELTA)
+                listing._apply({"revision": n, "complete": False, "members": [node]}, ListKind.DELTA)
             rest()
-        assert len(stand.desk.idents) == len(listing.numbers._numbers) == len(stand.desk.left) == 8
-        assert len(room.machines) == 9 and not listing.told and not stand.core.nodes
-        assert not stand.core.balancer.servers and stand.desk.idents.keys() == stand.desk.left.keys()
-        del room.machines[1]
-        line = room.open(old)
+        assert (
+            len(stand.desk.node_ids)
+            == len(listing.numbers._numbers)
+            == len(stand.desk.unavailable_since)
+            == 8
+        )
+        assert len(room.nodes) == 9 and not listing.reported and not stand.core.nodes
+        assert (
+            not stand.core.balancer.servers
+            and stand.desk.node_ids.keys() == stand.desk.unavailable_since.keys()
+        )
+        del room.nodes[1]
+        line = room.new_connection(old)
         line.connect()
         line.write([b"GET / HTTP/1.1\r\n\r\n"])
-        room.park(old, line, 1)  # a call that was out all the while
-        assert line.state == "closed" and room.lines == 0
+        room.release(old, line, 1)  # a call that was out all the while
+        assert line.state == "closed" and room.open_connections == 0
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -21,10 +21,10 @@
 from hypothesis import given
 from hypothesis import settings as hypo
 from hypothesis import strategies as st
-from plant import ROOT, Plant, order, plant, settings, until
+from proxy_rig import ROOT, ProxyRig, build_request, running_proxy, settings, wait_until
 
-from slatehub.observe.log import FIELD, LINE, TOPICS, Log, plain
-from slatehub.observe.outlet import Outlet, _polled
+from slatehub.observe.log import MAX_LINE_BYTES, MAX_TOPICS, MAX_VALUE_CHARS, EventLog, sanitize
+from slatehub.observe.nonblocking_writer import NonBlockingWriter, _write_if_ready
 from slatehub.settings import operator
 from slatehub.settings.errors import ConfigError
 
@@ -72,10 +72,10 @@
     return Read(found.pop("level"), found.pop("topic"), found.pop("msg"), found)
 
 
-def printed(say: Callable[[Log], None], **terms: Any) -> list[str]:
+def printed(say: Callable[[EventLog], None], **terms: Any) -> list[str]:
     out: list[bytes] = []
-    log = Log(lambda line: not out.append(line), lambda: 0.0, lambda: 1_700_000_000_123_456_789)
-    log.settle(proxy="p-0", tier=1, **terms)
+    log = EventLog(lambda line: not out.append(line), lambda: 0.0, lambda: 1_700_000_000_123_456_789)
+    log.configure(proxy="p-0", tier=1, **terms)
     say(log)
     return [line.decode() for line in out]
 
@@ -87,14 +87,14 @@
     form: str, topic: str, text: str, fields: dict[str, Any], longest: int
 ) -> None:
     (line,) = printed(
-        lambda log: log.say(topic, text, level="warning", **fields), format=form, longest=longest
+        lambda log: log.log_event(topic, text, level="warning", **fields), format=form, longest=longest
     )
-    assert len(line.encode()) <= LINE and line.endswith("\n") and line[:-1].isprintable()
+    assert len(line.encode()) <= MAX_LINE_BYTES and line.endswith("\n") and line[:-1].isprintable()
     back = parse(line[:-1])
     assert (back.level, back.fields["proxy"], back.fields["tier"]) == ("warning", "p-0", "1")
-    assert back.topic == plain(topic, 40) and len(back.text) <= longest
-    whole = plain(text, longest)
-    assert back.text == whole or (len(line.encode()) > LINE // 2 and whole.startswith(back.text))
+    assert back.topic == sanitize(topic, 40) and len(back.text) <= longest
+    whole = sanitize(text, longest)
+    assert back.text == whole or (len(line.encode()) > MAX_LINE_BYTES // 2 and whole.startswith(back.text))
     for key, value in fields.items():
         if (
             re.fullmatch("[A-Za-z_][A-Za-z0-9_]{,39}", key)
@@ -102,11 +102,13 @@
             and isinstance(value, str)
             and value
         ):
-            assert back.fields.get(key, plain(value, FIELD)) == plain(value, FIELD)
+            assert back.fields.get(key, sanitize(value, MAX_VALUE_CHARS)) == sanitize(value, MAX_VALUE_CHARS)
 
 
 def test_a_line_has_its_time_and_only_the_fields_that_are_there() -> None:
-    (line,) = printed(lambda log: log.say("nodes", "it broke", "error", node="s-1", request=None, where=""))
+    (line,) = printed(
+        lambda log: log.log_event("nodes", "it broke", "error", node="s-1", request=None, where="")
+    )
     assert line == (
         'time=2023-11-14T22:13:20.123Z level=error topic=nodes msg="it broke" proxy=p-0 tier=1 node=s-1\n'
     )
@@ -115,20 +117,20 @@
 def test_a_topic_has_its_share_and_says_how_many_lines_were_held_back() -> None:
     out: list[bytes] = []
     now, takes = [0.0], [True]
-    log = Log(lambda line: takes[0] and not out.append(line), lambda: now[0])
-    log.settle(per_topic_per_s=2.0, burst=3.0, level="info", format="json")
+    log = EventLog(lambda line: takes[0] and not out.append(line), lambda: now[0])
+    log.configure(per_topic_per_s=2.0, burst=3.0, level="info", format="json")
     for i in range(10):
-        log.say("a", str(i))
-        log.say("a", "below", "debug")
-    log.say("b", "another topic is not held back")
+        log.log_event("a", str(i))
+        log.log_event("a", "below", "debug")
+    log.log_event("b", "another topic is not held back")
     now[0] = 0.5
     takes[0] = False
-    log.say("a", "the reader has gone")
+    log.log_event("a", "the reader has gone")
     takes[0] = True
     now[0] = 1.0
-    log.say("a", "here again")
+    log.log_event("a", "here again")
     now[0] = 1.5
-    log.say("a", "and again")
+    log.log_event("a", "and again")
     told = [json.loads(line) for line in out]
     assert [line["msg"] for line in told[2:]] == [
         "2",
@@ -137,9 +139,9 @@
         "and again",
     ]
     assert [(line.get("suppressed", 0), line.get("lost", 0)) for line in told[-2:]] == [(7, 1), (0, 0)]
-    for i in range(2 * TOPICS):
-        log.say(f"topic {i}", "x")
-    assert len(log.gates) <= TOPICS + 1
+    for i in range(2 * MAX_TOPICS):
+        log.log_event(f"topic {i}", "x")
+    assert len(log.topic_limits) <= MAX_TOPICS + 1
 
 
 def test_a_full_pipe_or_socket_takes_whole_lines_only_and_nobody_waits() -> None:
@@ -148,7 +150,7 @@
         near = server.accept()[0]
     for reader, writer in (socket.socketpair(), (near, far), os.pipe()):
         fds = [end if isinstance(end, int) else end.detach() for end in (reader, writer)]
-        outlet, last = Outlet(fds[1]), b"last" + b"x" * 3000 + b"\n"
+        outlet, last = NonBlockingWriter(fds[1]), b"last" + b"x" * 3000 + b"\n"
         # A connection makes room by itself for a while after it was full, as the other side takes its share.
         lines, taken, refused = (b"%06d" % i + b"x" * 3000 + b"\n" for i in count()), [], 0
         while refused < 50:
@@ -159,7 +161,7 @@
                 refused += 1
                 time.sleep(0.002)
         with pytest.raises(BlockingIOError):
-            _polled(fds[1], b"x")  # as where it cannot be opened anew
+            _write_if_ready(fds[1], b"x")  # as where it cannot be opened anew
         assert taken and os.get_blocking(fds[1])  # others who write there may still want to wait
         read = b""
         while not read.endswith(last):
@@ -169,24 +171,24 @@
             line for line in read.splitlines(True) if line != last
         ] == taken  # whole, all, and in their order
         os.close(fds[0])
-        assert not outlet(last) and not Outlet(-1)(last)
+        assert not outlet(last) and not NonBlockingWriter(-1)(last)
         os.close(fds[1])
 
 
 @contextmanager
-def unheard(tmp: Path, code: str = "", **popen: Any) -> Iterator[Plant]:
+def unheard(tmp: Path, code: str = "", **popen: Any) -> Iterator[ProxyRig]:
     """A proxy with a standard error of the test's own; it must end well."""
     with socket.create_server(("127.0.0.1", 0)) as spare:
         listen = f"127.0.0.1:{spare.getsockname()[1]}"
-    with plant(tmp, listen=listen, code=code, popen=popen) as p:
-        until(lambda: socket.socket().connect_ex(p.program.peer) == 0)
+    with running_proxy(tmp, listen=listen, code=code, popen=popen) as p:
+        wait_until(lambda: socket.socket().connect_ex(p.program.address) == 0)
         yield p
         p.program.process.send_signal(signal.SIGTERM)
         assert p.program.process.wait(20) == 0
 
 
-def served(p: Plant) -> bool:
-    return p.program.ask(order("ok"))[0] == 200
+def served(p: ProxyRig) -> bool:
+    return p.program.request(build_request("ok"))[0] == 200
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up_and_says_what_was_lost(tmp_path: Path) -> None:
@@ -219,8 +221,8 @@
 
 def test_what_nobody_caught_is_a_line_and_no_traceback(tmp_path: Path) -> None:
     code = "import gevent; gevent.spawn_later(0.1, lambda: 1 / 0)"
-    with plant(tmp_path, code=code, faults=True) as p:
-        until(lambda: any("ZeroDivisionError" in line for line in list(p.program.log)))
+    with running_proxy(tmp_path, code=code, faults=True) as p:
+        wait_until(lambda: any("ZeroDivisionError" in line for line in list(p.program.log)))
         (line,) = [parse(line.rstrip()) for line in p.program.log if "ZeroDivisionError" in line]
         assert (line.level, line.topic, line.fields["where"]) == ("error", "fault", "<string>:1")
         assert not any("Traceback" in line for line in p.program.log)
@@ -256,7 +258,7 @@
     path = tmp_path / "own.toml"
     path.write_text(WRONG[key])
     with pytest.raises(ConfigError) as found:
-        operator.read(str(path))
+        operator.read_operator_file(str(path))
     assert (
         str(found.value).startswith(f"{path}: ") and key in str(found.value) and len(str(found.value)) < 400
     )
@@ -264,10 +266,10 @@
 
 def test_a_recorder_without_its_library_says_what_to_install(tmp_path: Path, monkeypatch: Any) -> None:
     (tmp_path / "own.toml").write_text(f'[recorder]\nbatches = 10\nfolder = "{tmp_path}"')
-    assert operator.read(str(tmp_path / "own.toml")).recorder.memory_mb == 2
+    assert operator.read_operator_file(str(tmp_path / "own.toml")).recorder.memory_mb == 2
     monkeypatch.setattr("importlib.util.find_spec", lambda name: None)
     with pytest.raises(ConfigError, match=r"recorder\.batches: needs msgspec.*pip install"):
-        operator.read(str(tmp_path / "own.toml"))
+        operator.read_operator_file(str(tmp_path / "own.toml"))
 
 
 @pytest.mark.parametrize("command", ["serve", "check-config"])
@@ -309,7 +311,7 @@
 
     lines = (ROOT / "deploy" / "slatehub.example.toml").read_text().splitlines()
     tree = tomllib.loads("\n".join(line.removeprefix("#") if " = " in line else line for line in lines))
-    usual = operator.Operator()
+    usual = operator.OperatorConfig()
     assert tree == {
         "log": {name: getattr(usual.log, name) for name in usual.log.__slots__},
         "recorder": {name: getattr(usual.recorder, name) for name in usual.recorder.__slots__},
@@ -318,17 +320,17 @@
         "copies": {name: _listed(getattr(usual.copies, name)) for name in usual.copies.__slots__},
         "ledger": {name: _listed(getattr(usual.ledger, name)) for name in usual.ledger.__slots__},
     }
-    assert operator.read(str(ROOT / "deploy" / "slatehub.example.toml")).fleet == usual.fleet
+    assert operator.read_operator_file(str(ROOT / "deploy" / "slatehub.example.toml")).fleet == usual.fleet
     shown = {key: value for key, value in tree["fleet"].items() if value not in ("", [])}
     assert set(tree["fleet"]) == set(usual.fleet.__slots__) and shown == {"share": True, "maintenance": "own"}
 
 
 def test_nothing_is_loaded_that_is_not_wanted(tmp_path: Path) -> None:
     code = "import atexit, sys; atexit.register(lambda: print(*sys.modules, file=sys.stderr))"
-    with plant(tmp_path, code=code) as p:
+    with running_proxy(tmp_path, code=code) as p:
         p.program.process.send_signal(signal.SIGTERM)
         assert p.program.process.wait(20) == 0
-        until(lambda: " gevent " in p.program.log[-1])
+        wait_until(lambda: " gevent " in p.program.log[-1])
         loaded = set(p.program.log[-1].split())
     assert "logfmter" in loaded and not loaded & {"tomllib", "msgspec", "slatehub.observe.recorder"}
     off = (
@@ -346,17 +348,17 @@
 
 
 def test_sighup_swaps_both_files_or_neither(tmp_path: Path) -> None:
-    def renew(p: Plant, own: str, line: str, **change: object) -> str:
+    def renew(p: ProxyRig, own: str, line: str, **change: object) -> str:
         (tmp_path / "operator.toml").write_text(own)
         tree = json.loads((tmp_path / "config.json").read_text())
         (tmp_path / "config.json").write_text(json.dumps({**tree, **change}))
         before = len(p.program.log)
         p.program.process.send_signal(signal.SIGHUP)
-        until(lambda: any(line in x for x in p.program.log[before:]))
+        wait_until(lambda: any(line in x for x in p.program.log[before:]))
         return next(x for x in p.program.log[before:] if line in x)
 
     (tmp_path / "msgspec.py").write_text("raise OSError('torn')")  # there, but not to be loaded
-    with plant(
+    with running_proxy(
         tmp_path, own="[log]\nburst = 100", code=f"import sys; sys.path.insert(0, {str(tmp_path)!r})"
     ) as p:
         tree = json.loads((tmp_path / "config.json").read_text())
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -17,11 +17,11 @@
 from hypothesis import strategies as st
 
 from paddlestep.interface import Effect, Entry, ListKind, State, Status
-from slatehub.core.actions import Deliver, Start, Withdraw
-from slatehub.core.desk import SalesDesk
-from slatehub.core.jobs import Answer, Attempt, Job, Verdict
-from slatehub.core.recovery import RecoveryTerms
-from slatehub.settings.reader import Plant, load
+from slatehub.core.commands import CancelAttempt, DeliverAnswer, StartAttempt
+from slatehub.core.dispatcher import Dispatcher
+from slatehub.core.jobs import Answer, AnswerStatus, Attempt, Job
+from slatehub.core.recovery import RecoveryConfig
+from slatehub.settings.reader import ProxyConfig, load_config
 
 ROOT = Path(__file__).parents[1]
 NAMES = st.text(st.characters(codec="utf-8", categories=["L", "N", "P", "S", "Zs"]), min_size=1, max_size=12)
@@ -83,7 +83,7 @@
 )
 
 
-def read(tree: dict[str, Any]) -> Plant:
+def read(tree: dict[str, Any]) -> ProxyConfig:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         whole = {
@@ -94,7 +94,7 @@
             "settings": tree,
         }
         path.write_text(json.dumps(whole))
-        return load({"EDGE_CONFIG": str(path)})
+        return load_config({"EDGE_CONFIG": str(path)})
 
 
 class Screen:
@@ -105,50 +105,52 @@
 class Hours:
     """A proxy at work under these settings, on a clock of its own; every event is drawn from the seed."""
 
-    def __init__(self, plant: Plant, seed: int) -> None:
+    def __init__(self, plant: ProxyConfig, seed: int) -> None:
         self.settings, self.rng, self.now = plant.settings, Random(seed), 50 * S
-        self.desk = SalesDesk(plant.settings, plant.seed, plant.max_open, RecoveryTerms())
+        self.desk = Dispatcher(plant.settings, plant.seed, plant.max_open, RecoveryConfig())
         self.out: list[Attempt] = []
         self.jobs: list[Job] = []
-        self.answers: dict[str, list[Verdict]] = {}
+        self.answers: dict[str, list[AnswerStatus]] = {}
         self.gone: set[str] = set()
         self.began: dict[str, list[Attempt]] = {}
         self.ends: dict[int, Status] = {}
         self.states = {node: State.READY for node in range(1, 5)}
-        self.desk.listed(self.now, ListKind.CACHED, 1, tuple(Entry(node) for node in self.states))
+        self.desk.update_nodes(self.now, ListKind.CACHED, 1, tuple(Entry(node) for node in self.states))
         self.settle()
 
     def settle(self) -> None:
-        while self.desk.waiting or self.desk.acts:
-            for act in self.desk.take_acts():
-                if isinstance(act, Deliver):
-                    self.answers[act.job.name].append(act.answer.verdict)
-                elif isinstance(act, Start):
+        while self.desk.pending_events or self.desk.commands:
+            for act in self.desk.take_commands():
+                if isinstance(act, DeliverAnswer):
+                    self.answers[act.job.request_id].append(act.answer.status)
+                elif isinstance(act, StartAttempt):
                     self.starts(act.attempt)
-                elif isinstance(act, Withdraw) and not act.attempt.over:
+                elif isinstance(act, CancelAttempt) and not act.attempt.finished:
                     self.ended(act.attempt, Status.CANCELLED)
-            if self.desk.waiting:
-                self.desk.turn(self.now)
+            if self.desk.pending_events:
+                self.desk.process_batch(self.now)
 
     def starts(self, attempt: Attempt) -> None:
         """The rules, where an attempt begins."""
         job = attempt.job
-        before = self.began.setdefault(job.name, [])
-        assert not job.answered and job.name not in self.gone and len(before) < self.settings.max_attempts
+        before = self.began.setdefault(job.request_id, [])
+        assert (
+            not job.answered and job.request_id not in self.gone and len(before) < self.settings.max_attempts
+        )
         assert self.states[attempt.endpoint] is State.READY
         if self.settings.classes[job.cls].effect is not Effect.SAFE:
-            assert all(a.over and self.ends[id(a)].never_ran for a in before), (
+            assert all(a.finished and self.ends[id(a)].never_ran for a in before), (
                 "what may have run goes out again"
             )
         elif not self.settings.may_duplicate:
-            assert all(a.over for a in before), "a second copy where none is allowed"
+            assert all(a.finished for a in before), "a second copy where none is allowed"
         before.append(attempt)
         self.out.append(attempt)
 
     def ended(self, attempt: Attempt, status: Status) -> None:
         self.out.remove(attempt)
         self.ends[id(attempt)] = status
-        self.desk.ended(self.now, attempt, status, (), "print")
+        self.desk.attempt_ended(self.now, attempt, status, (), "print")
 
     def step(self) -> None:
         what = self.rng.choice(["order"] * 4 + ["end"] * 4 + ["time"] * 3 + ["gone", "list", "failed"])
@@ -160,7 +162,7 @@
             self.answers[name] = []
             job = Job(name, kind, tenant, self.now + left, None, Screen(), self.rng.random() < 0.2, key=kind)
             self.jobs.append(job)
-            assert self.desk.order(self.now, job)
+            assert self.desk.submit(self.now, job)
         elif what == "end" and self.out:
             ends = [Status.OK] * 4 + [
                 Status.ERROR,
@@ -174,19 +176,19 @@
             self.pass_time(self.rng.choice([100, 5 * MS, 200 * MS, 2 * S]))
         elif what == "gone" and (waiting := [job for job in self.jobs if not job.answered]):
             job = self.rng.choice(waiting)
-            self.gone.add(job.name)
-            self.desk.gone(self.now, job)
+            self.gone.add(job.request_id)
+            self.desk.caller_disconnected(self.now, job)
         elif what == "list":
             node, state = (
                 self.rng.randrange(1, 5),
                 self.rng.choice([State.READY, State.READY, State.DRAINING]),
             )
             self.states[node] = state
-            self.desk.listed(
+            self.desk.update_nodes(
                 self.now, ListKind.DELTA, 2, (Entry(node, state, self.rng.choice([0, self.now])),)
             )
         elif what == "failed":
-            self.desk.listed(self.now, ListKind.FAILED)
+            self.desk.update_nodes(self.now, ListKind.FAILED)
         self.settle()
 
     def pass_time(self, us: int) -> None:
@@ -196,7 +198,7 @@
             if due is None or due > end:
                 break
             self.now = max(self.now, due)
-            self.desk.ring(self.now)
+            self.desk.run_due_timers(self.now)
             self.settle()
         else:
             raise AssertionError("the proxy spins")
@@ -209,8 +211,12 @@
             self.ended(attempt, Status.TIMEOUT)
         self.settle()
         for job in self.jobs:
-            assert len(self.answers[job.name]) == (job.name not in self.gone), job.name
-        assert not self.desk.ledger.jobs and not self.desk.ledger.names and not self.desk.balancer.requests
+            assert len(self.answers[job.request_id]) == (job.request_id not in self.gone), job.request_id
+        assert (
+            not self.desk.job_table.jobs
+            and not self.desk.job_table.by_request_id
+            and not self.desk.balancer.requests
+        )
         assert self.desk.balancer.inflight == self.desk.balancer.waiting == 0
         assert all(s.flights == 0 for s in self.desk.balancer.servers.values())
 
@@ -222,7 +228,7 @@
     for _ in range(120):
         hours.step()
     hours.close()
-    assert not [act for act in hours.desk.acts if getattr(act, "level", "") == "error"]
+    assert not [act for act in hours.desk.commands if getattr(act, "level", "") == "error"]
 
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/site.toml"))
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -16,13 +16,13 @@
 import gevent
 import pytest
 from click.testing import CliRunner, Result
-from plant import BUY, LOOK, ROOT, Plant, order, plant, until
+from proxy_rig import ROOT, SAFE_CLASS, UNSAFE_CLASS, ProxyRig, build_request, running_proxy, wait_until
 
 from paddlestep.balance import Balancer
 from paddlestep.interface import Effect, Entry, ListKind, ServiceClass, Settings, Status
-from slatehub.cli.flights import fingerprint
-from slatehub.core.actions import Start
-from slatehub.core.desk import SalesDesk
+from slatehub.cli.recorder_lifecycle import module_sha256
+from slatehub.core.commands import StartAttempt
+from slatehub.core.dispatcher import Dispatcher
 from slatehub.core.jobs import Answer, Attempt, Job
 from slatehub.observe import flight, recorder
 from slatehub.observe.recorder import FlightRecorder
@@ -45,14 +45,14 @@
     """A desk at work with a recorder, without a clock or a socket."""
 
     def __init__(self, folder: Path, batches: int, nodes: int = 5, keep: int = 8) -> None:
-        self.desk = SalesDesk(TERMS, 7, 1000)
+        self.desk = Dispatcher(TERMS, 7, 1000)
         self.now, self.serial, self.out = 10_000_000, 0, list[Attempt]()
         names = {n + 1: f"s-{n}" for n in range(nodes)}
         self.recorder = self.desk.recorder = FlightRecorder(
             lambda: self.desk.balancer, lambda: names, batches
         )
-        self.recorder.settle(("p-0", 0, "0.1", fingerprint()), batches, str(folder), keep)
-        self.desk.listed(
+        self.recorder.configure(("p-0", 0, "0.1", module_sha256()), batches, str(folder), keep)
+        self.desk.update_nodes(
             self.now, ListKind.FULL, 1, tuple(Entry(n, since_us=9_000_000 * (n == 1)) for n in names)
         )
 
@@ -62,22 +62,22 @@
             self.now += 3_000
             self.serial += 1
             job = Job(f"r{self.serial}", self.serial % 2, 0, self.now + 400_000, None, Nobody())
-            self.desk.order(self.now, job)
+            self.desk.submit(self.now, job)
             if self.serial % 3 and self.out:
-                self.desk.ended(self.now, self.out.pop(0), ENDS[self.serial % len(ENDS)], (1.5,))
+                self.desk.attempt_ended(self.now, self.out.pop(0), ENDS[self.serial % len(ENDS)], (1.5,))
             if self.serial % 50 == 0:
-                self.desk.resettle(TERMS, 1000)
-            self.desk.ring(self.now)
+                self.desk.apply_settings(TERMS, 1000)
+            self.desk.run_due_timers(self.now)
             self.turn()
 
     def turn(self) -> None:
-        self.desk.turn(self.now)
-        self.out += [act.attempt for act in self.desk.take_acts() if isinstance(act, Start)]
+        self.desk.process_batch(self.now)
+        self.out += [act.attempt for act in self.desk.take_commands() if isinstance(act, StartAttempt)]
 
     def file(self, reason: str = "asked") -> Path:
         assert self.recorder.write(reason)
-        assert self.recorder.busy
-        self.recorder.busy.join(20)
+        assert self.recorder.write_greenlet
+        self.recorder.write_greenlet.join(20)
         return max(Path(self.recorder.folder).glob(f"*-{reason}.flight"))
 
 
@@ -101,11 +101,11 @@
 
 
 def test_a_ring_is_bounded_in_bytes_too(tmp_path: Path, monkeypatch: Any) -> None:
-    monkeypatch.setattr(recorder, "MOST_BYTES", 20_000)
+    monkeypatch.setattr(recorder, "MAX_GENERATION_BYTES", 20_000)
     day = Day(tmp_path, 100_000)
     for _ in range(20):
         day.work(100)
-        assert day.recorder.ring and sum(g.weight for g in day.recorder.ring.generations()) < 42_000
+        assert day.recorder.ring and sum(g.size_bytes for g in day.recorder.ring.generations()) < 42_000
     assert replay(day.file()).exit_code == 0
 
 
@@ -220,7 +220,7 @@
     day = Day(tmp_path, 40)
     day.work(61)  # and goes on, with a ring of its own
     gevent.sleep(0)
-    assert day.recorder.busy is None or day.recorder.busy.join(20) is None
+    assert day.recorder.write_greenlet is None or day.recorder.write_greenlet.join(20) is None
     (path,) = tmp_path.glob("*-fault.flight")
     read = flight.read(path)
     assert read.batches[-1].names == ("r60",) and read.batches[-1].actions is None
@@ -237,7 +237,7 @@
 def test_a_full_disk_or_a_folder_that_has_gone_is_a_line_in_the_log(tmp_path: Path, monkeypatch: Any) -> None:
     said: list[str] = []
     monkeypatch.setattr(
-        recorder, "say", lambda topic, text, level="info", **fields: said.append(f"{level} {text}")
+        recorder, "log_event", lambda topic, text, level="info", **fields: said.append(f"{level} {text}")
     )
     folder = tmp_path / "flights"
     folder.mkdir()
@@ -274,11 +274,15 @@
     return sorted(folder.glob(f"n0-*-{reason}.flight"))
 
 
-def load(p: Plant, first: int, count: int) -> None:
+def load(p: ProxyRig, first: int, count: int) -> None:
     acts = ["ok", "ok", "ok", "full", "error", "reset", "stale"]
 
     def ask(n: int) -> None:
-        p.program.ask(order(acts[n % 7], LOOK if n % 2 else BUY, X_Request_ID=f"r{n}", X_Timeout="3000m"))
+        p.program.request(
+            build_request(
+                acts[n % 7], SAFE_CLASS if n % 2 else UNSAFE_CLASS, X_Request_ID=f"r{n}", X_Timeout="3000m"
+            )
+        )
 
     with ThreadPoolExecutor(8) as pool:
         list(pool.map(ask, range(first, first + count)))
@@ -288,11 +292,11 @@
     folder = tmp_path / "flights"
     folder.mkdir()
     on = f"[recorder]\nbatches = 400\nfolder = '{folder}'\non_stop = true\n"
-    with plant(tmp_path, nodes=3, own=on) as p, ThreadPoolExecutor(1) as pool:
+    with running_proxy(tmp_path, nodes=3, own=on) as p, ThreadPoolExecutor(1) as pool:
         load(p, 0, 150)
         busy = pool.submit(load, p, 150, 150)
         p.program.process.send_signal(signal.SIGUSR2)
-        (asked,) = until(lambda: files(folder, "asked"))
+        (asked,) = wait_until(lambda: files(folder, "asked"))
         busy.result()
         p.program.process.send_signal(signal.SIGTERM)
         assert p.program.process.wait(20) == 0
@@ -302,18 +306,18 @@
         assert done.exit_code == 0 and "recorded by n0, tier 0" in done.output
     done = replay(stop, "--request", "r299")
     assert done.exit_code == 0 and "request r299 " in done.output and "s-" in done.output
-    assert flight.read(stop).head.module == fingerprint()
+    assert flight.read(stop).head.module == module_sha256()
 
 
 def test_sighup_switches_it_on_and_off_and_sigusr2_is_never_the_end(tmp_path: Path) -> None:
     folder, own = tmp_path / "flights", tmp_path / "operator.toml"
     folder.mkdir()
-    with plant(tmp_path, own="[log]\nburst = 100") as p:
+    with running_proxy(tmp_path, own="[log]\nburst = 100") as p:
 
         def told(number: int, words: str) -> None:
             before = len(p.program.log)
             p.program.process.send_signal(number)
-            until(lambda: any(words in line for line in p.program.log[before:]))
+            wait_until(lambda: any(words in line for line in p.program.log[before:]))
 
         told(signal.SIGUSR2, "is off, so there is nothing to write")
         own.write_text(f"[log]\nburst = 100\n[recorder]\nbatches = 100\nfolder = '{folder}'")
@@ -338,11 +342,11 @@
         "Balancer.arrive = broken"
     )
     own = f"[recorder]\nbatches = 100\nfolder = '{folder}'"
-    with plant(tmp_path, nodes=2, own=own, code=code, faults=True) as p:
-        answers = [p.program.ask(order("ok", X_Request_ID=f"r{n}"))[0] for n in range(1, 9)]
+    with running_proxy(tmp_path, nodes=2, own=own, code=code, faults=True) as p:
+        answers = [p.program.request(build_request("ok", X_Request_ID=f"r{n}"))[0] for n in range(1, 9)]
         assert answers == [200, 200, 200, 200, 500, 200, 200, 200]
-        (path,) = until(lambda: files(folder, "fault"))
-        until(lambda: any("recording has been written" in line for line in p.program.log))
+        (path,) = wait_until(lambda: files(folder, "fault"))
+        wait_until(lambda: any("recording has been written" in line for line in p.program.log))
     read = flight.read(path)
     assert read.batches[-1].actions is None and "r5" in read.batches[-1].names
     assert read.head.problem == "ValueError: five"
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,15 +9,23 @@
 from typing import Any
 
 import pytest
-from plant import BUY, LOOK, answer, order, plant, settings, until
+from proxy_rig import (
+    SAFE_CLASS,
+    UNSAFE_CLASS,
+    build_request,
+    read_response,
+    running_proxy,
+    settings,
+    wait_until,
+)
 
 from paddlestep.interface import Effect
-from slatehub.settings.reader import MOST_PLACES, ConfigError, Plant, load, renew
+from slatehub.settings.reader import MAX_NUMBERED_NAMES, ConfigError, ProxyConfig, load_config, merge_reloaded
 
 Change = Callable[[dict[str, Any]], Any]
 
 
-def read(tmp: Path, change: Change = lambda tree: None) -> Plant:
+def read(tmp: Path, change: Change = lambda tree: None) -> ProxyConfig:
     tree = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -27,7 +35,7 @@
     }
     change(tree)
     (tmp / "config.json").write_text(json.dumps(tree))
-    return load({"EDGE_CONFIG": str(tmp / "config.json")})
+    return load_config({"EDGE_CONFIG": str(tmp / "config.json")})
 
 
 def kind(name: str, effect: str = "fragile", limit: Any = 6_000_000) -> dict[str, Any]:
@@ -59,7 +67,7 @@
 ) -> None:
     old = read(tmp_path)
     with pytest.raises(ConfigError) as told:
-        renew(old, read(tmp_path, change))
+        merge_reloaded(old, read(tmp_path, change))
     assert key in str(told.value)
 
 
@@ -68,52 +76,54 @@
         tree["settings"]["tenants"] = []
         tree["settings"]["allowed"]["later"] = {"more": 1}
 
-    assert renew(read(tmp_path), read(tmp_path, change)).accounts == {}
+    assert merge_reloaded(read(tmp_path), read(tmp_path, change)).accounts == {}
 
 
 def test_classes_keep_their_numbers_and_the_table_is_bounded(tmp_path: Path) -> None:
     now = first = read(tmp_path)
-    for i in range(2 * MOST_PLACES):
-        now = renew(now, read(tmp_path, lambda t, i=i: t["settings"]["services"].append(kind(f"c{i}"))))
+    for i in range(2 * MAX_NUMBERED_NAMES):
+        now = merge_reloaded(
+            now, read(tmp_path, lambda t, i=i: t["settings"]["services"].append(kind(f"c{i}")))
+        )
         assert now.settings.classes[now.classes[f"c{i}"]].name == f"c{i}" and len(now.classes) == 3
-    assert len(now.settings.classes) == MOST_PLACES and len(now.every_class) == MOST_PLACES
-    assert {n: now.classes[n] for n in (LOOK, BUY)} == first.classes
+    assert len(now.settings.classes) == MAX_NUMBERED_NAMES and len(now.all_classes) == MAX_NUMBERED_NAMES
+    assert {n: now.classes[n] for n in (SAFE_CLASS, UNSAFE_CLASS)} == first.classes
 
 
 def test_a_class_may_go_and_come_back_with_other_terms(tmp_path: Path) -> None:
     def other(tree: dict[str, Any]) -> None:
-        tree["settings"]["services"][1] = kind(BUY, "retryable", 3_000_000)
+        tree["settings"]["services"][1] = kind(UNSAFE_CLASS, "retryable", 3_000_000)
 
     first = read(tmp_path)
-    without = renew(first, read(tmp_path, lambda t: t["settings"]["services"].pop(1)))
-    again = renew(without, read(tmp_path, other))
-    assert BUY not in without.classes and again.classes == first.classes
-    assert again.settings.classes[again.classes[BUY]].effect is Effect.SAFE
+    without = merge_reloaded(first, read(tmp_path, lambda t: t["settings"]["services"].pop(1)))
+    again = merge_reloaded(without, read(tmp_path, other))
+    assert UNSAFE_CLASS not in without.classes and again.classes == first.classes
+    assert again.settings.classes[again.classes[UNSAFE_CLASS]].effect is Effect.SAFE
 
 
 def test_a_running_proxy_takes_new_classes_and_refuses_dropped_ones_and_bad_files(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    with plant(tmp_path) as p:
+    with running_proxy(tmp_path) as p:
         good = path.read_text()
 
         def told(body: str, word: str) -> None:
             before = sum(word in x for x in p.program.log)
             path.write_text(body)
             p.program.process.send_signal(signal.SIGHUP)
-            until(lambda: sum(word in x for x in p.program.log) > before)
+            wait_until(lambda: sum(word in x for x in p.program.log) > before)
 
         with p.program.connect() as held:
-            held.sendall(order("wait"))
-            assert p.nodes[0].waiting.acquire(timeout=20)
+            held.sendall(build_request("wait"))
+            assert p.nodes[0].held.acquire(timeout=20)
             tree = json.loads(good)
             tree["settings"]["services"][1] = kind("rush-print", "retryable")
             told(json.dumps(tree), "read again and in force")
-            assert p.program.ask(order("ok"))[0] == 400  # dropped
-            p.nodes[0].go.set()
-            assert answer(held)[0] == 200  # what was in hand goes on under its old class
-        assert p.program.ask(order("ok", "rush-print", method="GET"))[0] == 200
+            assert p.program.request(build_request("ok"))[0] == 400  # dropped
+            p.nodes[0].release.set()
+            assert read_response(held)[0] == 200  # what was in hand goes on under its old class
+        assert p.program.request(build_request("ok", "rush-print", method="GET"))[0] == 200
         for body in ("", good[: len(good) // 2], json.dumps(json.loads(good) | {"discovery": None})):
             told(body, "not taken, the old ones stay in force")
-            assert p.program.ask(order("ok", "rush-print", method="GET"))[0] == 200
+            assert p.program.request(build_request("ok", "rush-print", method="GET"))[0] == 200
         told(good, "read again and in force")
-        assert p.program.ask(order("ok"))[0] == 200
+        assert p.program.request(build_request("ok"))[0] == 200
