--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,13 +16,24 @@
 import gevent
 import pytest
 from gevent import socket as gsocket
-from plant import LOOK, ROOT, Node, answer, field, member, order, plant, settings, until
+from proxy_rig import (
+    ROOT,
+    SAFE_CLASS,
+    ScriptedNode,
+    build_request,
+    header_value,
+    node_entry,
+    read_response,
+    running_proxy,
+    settings,
+    wait_until,
+)
 from test_error_paths import hall_for, screen_for
 from test_line import Stand, listen, rest
 
-from slatehub.cli.main import Renewal
+from slatehub.cli.main import SettingsReloader
 from slatehub.drivers.clock import clock
-from slatehub.fronts.http1 import screens
+from slatehub.fronts.http1 import server
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -35,12 +46,12 @@
     caller, screen = screen_for(hall, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall.screens[screen] = None
+    hall.connections[screen] = None
     caller.sendall(READY)  # and the screen has not run since
-    hall._see_off(clock(), over=False)
+    hall._close_idle(clock(), over=False)
     assert not screen.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall._see_off(clock(), over=False)
+    hall._close_idle(clock(), over=False)
     assert screen.closed and caller.recv(10) == b""  # a clean end, no reset
     caller.close()
 
@@ -50,9 +61,9 @@
     caller, screen = screen_for(hall, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall.screens[screen] = None
+    hall.connections[screen] = None
     caller.sendall(READY)
-    hall._see_off(clock(), over=True)
+    hall._close_idle(clock(), over=True)
     assert screen.closed
     caller.close()
 
@@ -60,12 +71,12 @@
 def test_who_is_let_in_at_the_last_call_is_written_to_without_delay() -> None:
     """Small writes that the system holds back go with a reset."""
     hall, place = hall_for(Stand()), listen()
-    hall.open(place)
-    hall.door.kill()
+    hall.start(place)
+    hall.acceptor.kill()
     callers = [gsocket.create_connection(place.getsockname()) for _ in range(3)]
-    hall._last_call()
-    assert len(hall.screens) == 3
-    for screen in hall.screens:
+    hall._accept_backlog()
+    assert len(hall.connections) == 3
+    for screen in hall.connections:
         assert screen.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     for caller in callers:
         caller.close()
@@ -79,46 +90,48 @@
     hall = hall_for(Stand())
     caller, screen = screen_for(hall, b"")
     rest()
-    hall.room = 160_000 if bound == "of all" else 10_000_000
+    hall.memory_limit = 160_000 if bound == "of all" else 10_000_000
     if bound == "of one":
-        monkeypatch.setattr(screens, "AHEAD_MOST", 40_000)
-    most = 40_000 + screens.PIECE
-    screen.job = SimpleNamespace(screen=screen)  # type: ignore[assignment]
+        monkeypatch.setattr(server, "MAX_READ_AHEAD_BYTES", 40_000)
+    most = 40_000 + server.READ_CHUNK_BYTES
+    screen.job = SimpleNamespace(responder=screen)  # type: ignore[assignment]
     caller.setblocking(False)
     try:
         while True:
             caller.send(bytes(10_000))
     except OSError:
         pass
-    screen.take_ahead()
-    screen.take_ahead()
-    assert 40_000 <= len(screen.ahead) == hall.ahead == hall.weight < most
+    screen.read_ahead()
+    screen.read_ahead()
+    assert 40_000 <= len(screen.read_ahead_buffer) == hall.bytes_read_ahead == hall.bytes_held < most
     screen.job = None
     screen.close()
-    assert hall.ahead == hall.weight == 0
+    assert hall.bytes_read_ahead == hall.bytes_held == 0
     caller.close()
 
 
-class Breaks(Node):
+class Breaks(ScriptedNode):
     """Begins a large answer without a length, and resets it."""
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         if "/endless-reset" not in head.split("\r\n")[0]:
-            return super().reply(conn, head, body)
+            return super().respond(conn, head, body)
         conn.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + bytes(300_000))
-        self.waiting.release()
-        self.go.wait(20)
+        self.held.release()
+        self.release.wait(20)
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         return False
 
 
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
 def test_an_answer_without_a_length_that_is_reset_never_ends_cleanly(tmp_path: Path, version: str) -> None:
-    with plant(tmp_path, kind=Breaks) as p, p.program.connect() as conn:
-        conn.sendall(order("endless-reset", LOOK).replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
+    with running_proxy(tmp_path, kind=Breaks) as p, p.program.connect() as conn:
+        conn.sendall(
+            build_request("endless-reset", SAFE_CLASS).replace(b"HTTP/1.1", f"HTTP/{version}".encode())
+        )
         got = conn.recv(65536)
-        assert got.startswith(b"HTTP/1.1 200 ") and p.nodes[0].waiting.acquire(timeout=20)
-        p.nodes[0].go.set()
+        assert got.startswith(b"HTTP/1.1 200 ") and p.nodes[0].held.acquire(timeout=20)
+        p.nodes[0].release.set()
         ended = "cleanly"
         try:
             while piece := conn.recv(65536):
@@ -133,20 +146,27 @@
 
 
 def test_more_signals_during_a_stop_change_nothing(tmp_path: Path) -> None:
-    with plant(tmp_path) as p, ThreadPoolExecutor() as pool, socket.create_server(("127.0.0.1", 0)) as spare:
+    with (
+        running_proxy(tmp_path) as p,
+        ThreadPoolExecutor() as pool,
+        socket.create_server(("127.0.0.1", 0)) as spare,
+    ):
         port = spare.getsockname()[1]
         spare.close()
-        held = pool.submit(p.program.ask, order("wait"))
-        assert p.nodes[0].waiting.acquire(timeout=20)
+        held = pool.submit(p.program.request, build_request("wait"))
+        assert p.nodes[0].held.acquire(timeout=20)
         process = p.program.process
         process.send_signal(signal.SIGTERM)
-        until(lambda: any("finishing 1 jobs" in line for line in list(p.program.log)))
+        wait_until(lambda: any("finishing 1 jobs" in line for line in list(p.program.log)))
         tree = json.loads((tmp_path / "config.json").read_text())
         (tmp_path / "config.json").write_text(json.dumps({**tree, "listen": f"127.0.0.1:{port}"}))
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR2, signal.SIGTERM):
             process.send_signal(number)
-        assert p.program.ask(order("ok"))[0] in (200, 503)  # still there, at the address where it was
-        p.nodes[0].go.set()
+        assert p.program.request(build_request("ok"))[0] in (
+            200,
+            503,
+        )  # still there, at the address where it was
+        p.nodes[0].release.set()
         assert held.result(20)[0] == 200
         assert process.wait(20) == 0
         assert not any("read again" in line for line in p.program.log)
@@ -154,14 +174,14 @@
 
 def test_a_stop_waits_for_a_renewal_that_has_begun_and_none_begins_after_it() -> None:
     parts: Any = [SimpleNamespace() for _ in range(7)]
-    renewal, began, goes_on = Renewal(None, *parts), [], gevent.event.Event()
+    renewal, began, goes_on = SettingsReloader(None, *parts), [], gevent.event.Event()
 
     def renew() -> None:
         began.append("begun")
         goes_on.wait()
         began.append("through")
 
-    renewal._renew = renew  # type: ignore[method-assign]
+    renewal._reload = renew  # type: ignore[method-assign]
     gevent.spawn(renewal)
     gevent.sleep(0)
     stop = gevent.spawn(renewal.close)
@@ -197,10 +217,10 @@
     lib, began, go = tmp_path / "lib", tmp_path / "began", tmp_path / "go"
     lib.mkdir()
     (lib / "click.py").write_text(HELD_UP.format(began=str(began), go=str(go), here=str(lib)))
-    node = Node()
+    node = ScriptedNode()
     tree = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings(),
-        "known": {"revision": 0, "complete": True, "members": [member("s-0", node.address)]},
+        "known": {"revision": 0, "complete": True, "members": [node_entry("s-0", node.address)]},
     }  # fmt: skip
     (tmp_path / "config.json").write_text(json.dumps(tree))
     env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), "PYTHONPATH": str(lib)}
@@ -208,15 +228,15 @@
     process = subprocess.Popen(argv, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
     assert process.stderr
     try:
-        until(began.exists)
+        wait_until(began.exists)
         process.send_signal(number)
         go.touch()
         line = next((x for x in process.stderr if " listens on " in x), "")
         if code is None:
             place = line.partition(" listens on ")[2].split(",")[0].rpartition(":")
             with socket.create_connection((place[0], int(place[2])), 20) as conn:
-                conn.sendall(order("ok"))
-                assert answer(conn)[0] == 200
+                conn.sendall(build_request("ok"))
+                assert read_response(conn)[0] == 200
         else:
             assert not line and process.wait(20) == code
     finally:
@@ -227,10 +247,10 @@
 
 
 def test_a_stop_told_as_soon_as_it_listens_ends_in_order(tmp_path: Path) -> None:
-    with plant(tmp_path) as p:
+    with running_proxy(tmp_path) as p:
         p.program.process.send_signal(signal.SIGTERM)
         with p.program.connect() as conn:
-            conn.sendall(order("ok"))
-            status, head, _ = answer(conn)
-            assert status == 200 and field(head, "content-length") == "4"
+            conn.sendall(build_request("ok"))
+            status, head, _ = read_response(conn)
+            assert status == 200 and header_value(head, "content-length") == "4"
         assert p.program.process.wait(20) == 0
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -8,46 +8,51 @@
 import time
 from pathlib import Path
 
-from fleet_rig import fleet
+from fleet_rig import running_fleet
 from hypothesis import given
 from hypothesis import strategies as st
-from plant import LOOK, order
+from proxy_rig import SAFE_CLASS, build_request
 
-from slatehub.decisions.stall import AFTER_US, BEAT_US, WORTH_US, Stalls
+from slatehub.decisions.stall import (
+    HEARTBEAT_INTERVAL_US,
+    STALL_READ_GRACE_US,
+    STALL_THRESHOLD_US,
+    StallDetector,
+)
 
 SECOND = 1_000_000
 
 
 @given(st.lists(st.integers(0, 3 * SECOND), max_size=30))
 def test_no_wait_is_longer_than_the_silence_and_none_is_found_in_a_steady_beat(gaps: list[int]) -> None:
-    one, now = Stalls(0), 0
+    one, now = StallDetector(0), 0
     for gap in gaps:
         before, now = now, now + gap
-        assert one.waited(now) <= max(gap, one.until - one.start + AFTER_US)
-        one.beat(now)
-        assert (one.until == now and gap > 0) == (gap > WORTH_US)
-        assert gap <= WORTH_US or one.waited(now) == now - before
+        assert one.max_unread_us(now) <= max(gap, one.until - one.start + STALL_READ_GRACE_US)
+        one.heartbeat(now)
+        assert (one.until == now and gap > 0) == (gap > STALL_THRESHOLD_US)
+        assert gap <= STALL_THRESHOLD_US or one.max_unread_us(now) == now - before
     for _ in range(10):
-        now += BEAT_US
-        one.beat(now)
-    assert one.waited(now) == one.waited(now + BEAT_US) == 0
+        now += HEARTBEAT_INTERVAL_US
+        one.heartbeat(now)
+    assert one.max_unread_us(now) == one.max_unread_us(now + HEARTBEAT_INTERVAL_US) == 0
 
 
 def test_an_order_that_waited_out_its_time_before_a_stopped_process_is_refused_and_runs_nowhere(
     tmp_path: Path,
 ) -> None:
-    with fleet(tmp_path, 1) as rig:
+    with running_fleet(tmp_path, 1) as rig:
         program = rig.programs["p0"]
-        assert program.ask(order("ok", LOOK))[0] == 200
-        seen = sum(len(node.seen) for node in rig.nodes)
+        assert program.request(build_request("ok", SAFE_CLASS))[0] == 200
+        seen = sum(len(node.requests) for node in rig.nodes)
         os.kill(program.process.pid, signal.SIGSTOP)
         found: list[int] = []
-        asked = order("ok", LOOK, X_Timeout="2000m")
-        caller = threading.Thread(target=lambda: found.append(program.ask(asked)[0]), daemon=True)
+        asked = build_request("ok", SAFE_CLASS, X_Timeout="2000m")
+        caller = threading.Thread(target=lambda: found.append(program.request(asked)[0]), daemon=True)
         caller.start()
         time.sleep(3)
         os.kill(program.process.pid, signal.SIGCONT)
         caller.join()
-        assert found == [503] and sum(len(node.seen) for node in rig.nodes) == seen
+        assert found == [503] and sum(len(node.requests) for node in rig.nodes) == seen
         time.sleep(0.5)  # a stall is over soon: nothing that comes later is taken for old
-        assert program.ask(order("ok", LOOK, X_Timeout="2000m"))[0] == 200
+        assert program.request(build_request("ok", SAFE_CLASS, X_Timeout="2000m"))[0] == 200
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 
 from slatehub.copies.driver import CopiesDriver
-from slatehub.settings.operator import CopiesTable
-from slatehub.store import log as logs
-from slatehub.store.files import Disk, File, Locked
-from slatehub.store.frames import HEAD, framed, scan
-from slatehub.store.log import Log, Recovered, StoreError, records
+from slatehub.settings.operator import CopiesConfig
+from slatehub.store import write_ahead_log as logs
+from slatehub.store.files import AppendFile, DiskFolder, FolderLockedError
+from slatehub.store.frames import HEADER, encode_frame, scan_frames
+from slatehub.store.write_ahead_log import RecoveryResult, StoreError, WriteAheadLog, iter_records
 
 
 class Power(Exception):
@@ -44,13 +44,13 @@
             raise Power
         self.left -= 1
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(self.data)
 
     def read(self, name: str) -> bytes:
         return bytes(self.data[name])
 
-    def append(self, name: str) -> File:
+    def append(self, name: str) -> AppendFile:
         self.step("append")
         if name not in self.data:
             self.data[name] = bytearray()
@@ -58,7 +58,7 @@
             self.numbers[name] = self.count
         return Sheet(self, name)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self.step("cut")
         del self.data[name][size:]
         self.synced[str(self.numbers[name])] = bytes(self.data[name])
@@ -72,7 +72,7 @@
         self.step("remove")
         del self.data[name], self.numbers[name]
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self.step("names")
         self.named = dict(self.numbers)
 
@@ -125,14 +125,14 @@
     return b"record %d " % number + b"x" * (number % 40)
 
 
-def opened(paper: Paper) -> tuple[Log, Recovered]:
-    log = Log(paper)
+def opened(paper: Paper) -> tuple[WriteAheadLog, RecoveryResult]:
+    log = WriteAheadLog(paper)
     return log, log.open()
 
 
 @pytest.fixture(autouse=True)
 def _short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(logs, "SEGMENT", 400)
+    monkeypatch.setattr(logs, "SEGMENT_BYTES", 400)
 
 
 def worked(paper: Paper, rounds: int = 12) -> list[bytes]:
@@ -146,7 +146,7 @@
             durable += some
             if number % 5 == 4:
                 checkpoint = log.checkpoint()
-                checkpoint.put(list(durable))
+                checkpoint.append(list(durable))
                 log.commit([body(1000 + number)])
                 durable.append(body(1000 + number))
                 checkpoint.finish()
@@ -172,13 +172,13 @@
 
 
 def test_a_log_is_cut_at_every_byte_and_opens_with_all_that_stood_before_it(tmp_path: Path) -> None:
-    log, _ = opened(Disk(str(tmp_path / "a")))  # type: ignore[arg-type]
+    log, _ = opened(DiskFolder(str(tmp_path / "a")))  # type: ignore[arg-type]
     for number in range(4):
         log.commit([body(number)])
     log.files.close()
     name = sorted(x.name for x in (tmp_path / "a").iterdir() if x.name.startswith("log-"))[-1]
     data = (tmp_path / "a" / name).read_bytes()
-    ends = [frame.end for frame in scan(data).frames if frame.body[0]]
+    ends = [frame.end for frame in scan_frames(data).frames if frame.body[0]]
     for at in range(len(data) + 1):
         paper = Paper()
         for file in (tmp_path / "a").iterdir():
@@ -193,16 +193,17 @@
 def test_a_flipped_bit_before_the_last_note_is_damage_and_never_believed() -> None:
     paper = Paper()
     durable = worked(paper, rounds=3)
-    names = [name for name in paper.names() if name.startswith("log-")]
+    names = [name for name in paper.list_names() if name.startswith("log-")]
     data = {name: bytes(paper.data[name]) for name in names}
     for name in names:
-        frames = scan(data[name]).frames
+        frames = scan_frames(data[name]).frames
         last = max(
-            (frame.at for frame in frames if frame.body.startswith(logs.NOTE)), default=len(data[name])
+            (frame.start for frame in frames if frame.body.startswith(logs.SYNC_MARKER)),
+            default=len(data[name]),
         )
         for at in range(0, len(data[name]), 3):
             found_paper = Paper()
-            for other in paper.names():
+            for other in paper.list_names():
                 found_paper.data[other] = bytearray(paper.data[other])
                 found_paper.numbers[other] = len(found_paper.numbers)
             found_paper.data[name][at] ^= 0x10
@@ -215,14 +216,14 @@
 def test_what_was_damaged_once_is_not_found_again_at_the_next_start() -> None:
     paper = Paper()
     durable = worked(paper, rounds=3)
-    name = next(name for name in paper.names() if name.startswith("log-"))
+    name = next(name for name in paper.list_names() if name.startswith("log-"))
     paper.data[name][len(paper.data[name]) // 2] ^= 1
     log, found = opened(paper)
     assert found.damage and set(found.records) < set(durable)
-    number = log.store
-    log.renumber(found.records)
+    number = log.store_id
+    log.assign_new_store_id(found.records)
     again, after = opened(paper)
-    assert not after.damage and after.records == found.records and again.store == log.store != number
+    assert not after.damage and after.records == found.records and again.store_id == log.store_id != number
 
 
 def test_a_sync_that_failed_is_never_followed_by_a_yes() -> None:
@@ -252,35 +253,35 @@
 
 
 def test_a_copied_folder_is_told_and_a_second_process_is_kept_out(tmp_path: Path) -> None:
-    log, found = opened(Disk(str(tmp_path / "a")))  # type: ignore[arg-type]
-    assert found.fresh
+    log, found = opened(DiskFolder(str(tmp_path / "a")))  # type: ignore[arg-type]
+    assert found.is_new
     log.commit([body(1)])
-    with pytest.raises(Locked):
-        Disk(str(tmp_path / "a"))
-    number = log.store
+    with pytest.raises(FolderLockedError):
+        DiskFolder(str(tmp_path / "a"))
+    number = log.store_id
     log.close()
     shutil.copytree(tmp_path / "a", tmp_path / "b")
-    log, found = opened(Disk(str(tmp_path / "b")))  # type: ignore[arg-type]
-    assert found.copied and found.records == [body(1)]
-    log.renumber(found.records)
-    assert log.store != number
+    log, found = opened(DiskFolder(str(tmp_path / "b")))  # type: ignore[arg-type]
+    assert found.is_copy and found.records == [body(1)]
+    log.assign_new_store_id(found.records)
+    assert log.store_id != number
     log.close()
-    log, found = opened(Disk(str(tmp_path / "b")))  # type: ignore[arg-type]
-    assert not found.copied
+    log, found = opened(DiskFolder(str(tmp_path / "b")))  # type: ignore[arg-type]
+    assert not found.is_copy
     log.close()
-    assert not opened(Disk(str(tmp_path / "a")))[1].copied  # type: ignore[arg-type]
+    assert not opened(DiskFolder(str(tmp_path / "a")))[1].is_copy  # type: ignore[arg-type]
 
 
 def test_a_manifest_of_another_format_is_left_alone_and_one_that_is_gone_is_damage() -> None:
     paper = Paper()
     worked(paper, rounds=2)
     raw = bytes(paper.data["manifest"])
-    later = scan(raw).frames[0].body.replace(b"\x95\x01", b"\x95\x02", 1)
-    paper.data["manifest"] = bytearray(framed(later))
+    later = scan_frames(raw).frames[0].body.replace(b"\x95\x01", b"\x95\x02", 1)
+    paper.data["manifest"] = bytearray(encode_frame(later))
     with pytest.raises(StoreError, match="format 2"):
         opened(paper)
     paper.data["manifest"] = bytearray(raw)
-    paper.data["manifest"][HEAD.size] ^= 1
+    paper.data["manifest"][HEADER.size] ^= 1
     assert "manifest cannot be read" in opened(paper)[1].damage[0]
 
 
@@ -291,10 +292,10 @@
 def test_good_frames_are_found_whatever_stands_between_them(
     bodies: list[bytes], noise: bytes, at: int
 ) -> None:
-    parts = [framed(one) for one in bodies]
+    parts = [encode_frame(one) for one in bodies]
     place = at % (len(parts) + 1)
     data = b"".join([*parts[:place], noise, *parts[place:]])
-    result = scan(data)
+    result = scan_frames(data)
     assert [frame.body for frame in result.frames] == bodies
     assert sum(b - a for a, b in result.gaps) == len(noise)
 
@@ -302,20 +303,22 @@
 def test_the_records_of_a_folder_are_listed_for_tools() -> None:
     paper = Paper()
     durable = worked(paper, rounds=3)
-    assert [one for _, _, one in records(paper)] == durable
+    assert [one for _, _, one in iter_records(paper)] == durable
 
 
 def test_nothing_is_heard_before_the_folder_has_been_read(tmp_path: Path) -> None:
     """What an empty machine took in meanwhile counted as written down by the one that came after it."""
-    link: Any = SimpleNamespace(peer=SimpleNamespace(posts={}), busier=lambda: None, post=lambda *_: None)
-    held = Disk(str(tmp_path))  # as the old process of an upgrade holds it
-    driver = CopiesDriver("p0", CopiesTable(folder=str(tmp_path), voters=("p0", "p1", "p2")), link, 1)
+    link: Any = SimpleNamespace(
+        peer=SimpleNamespace(handlers={}), raise_receive_limit=lambda: None, send_payload=lambda *_: None
+    )
+    held = DiskFolder(str(tmp_path))  # as the old process of an upgrade holds it
+    driver = CopiesDriver("p0", CopiesConfig(folder=str(tmp_path), voters=("p0", "p1", "p2")), link, 1)
     driver.open()
     gevent.sleep(0.1)
-    assert not link.peer.posts and not driver.available() and not driver.queue
+    assert not link.peer.handlers and not driver.has_quorum() and not driver.pending_records
     held.close()
     for _ in range(400):
-        gevent.sleep(0.01 if not link.peer.posts else 0)
-    assert link.peer.posts and driver.machine.me.store and not driver.problem
+        gevent.sleep(0.01 if not link.peer.handlers else 0)
+    assert link.peer.handlers and driver.replica.self_voter.store_id and not driver.failure
     driver.close()
-    assert not link.peer.posts
+    assert not link.peer.handlers
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -14,7 +14,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from slatehub.decisions.storm import MOST_NODES, TICK, Figures, Phase, StormDetector, StormTerms
+from slatehub.decisions.storm import (
+    EVALUATION_INTERVAL_US,
+    MAX_NODES,
+    Phase,
+    StormDetector,
+    StormDetectorConfig,
+    StormMetrics,
+)
 
 HYPO = hypo(max_examples=25, derandomize=True, database=None, deadline=None)
 CALM, RISING, STORM, RECOVERY = Phase
@@ -36,9 +43,9 @@
     def __init__(self, seed: int = 1, rate: int = 40, kinds: int = 0, retries: int = 2, wait: int = 1):
         self.rng, self.rate, self.kinds, self.retries, self.wait = Random(seed), rate, kinds, retries, wait
         self.wrong = 0  # arrivals that were called repeats and were none, or were not and were
-        self.detector = StormDetector(StormTerms(), 5)
+        self.detector = StormDetector(StormDetectorConfig(), 5)
         self.changes: list[tuple[float, Phase]] = []
-        self.figures: list[Figures] = []
+        self.figures: list[StormMetrics] = []
         self.queue: list[tuple[int, int, int, int, str]] = []  # when, key, tenant, try, verdict
 
     def orders(self, start: float, end: float, rate: float, tenant: int = -1) -> None:
@@ -53,7 +60,7 @@
         while self.queue:
             now, key, tenant, tries, verdict = heappop(self.queue)
             if verdict:
-                self.detector.ended(now, key, verdict)  # type: ignore[arg-type]
+                self.detector.request_ended(now, key, verdict)  # type: ignore[arg-type]
                 if verdict != "served" and tries < self.retries:
                     back = now + self.rng.randint(500, 1500) * self.wait
                     heappush(self.queue, (back, key, tenant, tries + 1, ""))
@@ -64,7 +71,7 @@
                 heappush(self.queue, (now + lag * MS, key, tenant, tries, end))
             if change := self.detector.advance(now):
                 self.changes.append((now / S, change.phase))
-            self.figures.append(self.detector.figures())
+            self.figures.append(self.detector.metrics())
         return self
 
     def when(self, phase: Phase, since: float = 0) -> float:
@@ -77,14 +84,19 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.changed = 5, 5
-        self.pair = [StormDetector(StormTerms(start_us=0, rise_us=0, storm_us=0, calm_us=0), 3) for _ in "ab"]
+        self.pair = [
+            StormDetector(StormDetectorConfig(start_us=0, rise_us=0, storm_us=0, calm_us=0), 3) for _ in "ab"
+        ]
 
     def tell(self, name: str, *about: Any) -> Any:
         one, other = (getattr(d, name)(self.now, *about) for d in self.pair)
         assert one == other
         return one
 
-    @rule(step=st.sampled_from([1, TICK, 7 * TICK, S, 3600 * S, 10**6 * S]), times=st.integers(1, 8))
+    @rule(
+        step=st.sampled_from([1, EVALUATION_INTERVAL_US, 7 * EVALUATION_INTERVAL_US, S, 3600 * S, 10**6 * S]),
+        times=st.integers(1, 8),
+    )
     def wait(self, step: int, times: int) -> None:
         for _ in range(times):
             self.now += step
@@ -102,21 +114,21 @@
         for _ in range(times):
             self.tell("arrival", key, 0, tenant, marked)
             if end:
-                self.tell("ended", key, end)
+                self.tell("request_ended", key, end)
         self.look()
 
     @rule(node=st.integers(0, 10**6), util=st.floats(), times=st.integers(1, 400))
     def other(self, node: int, util: float, times: int) -> None:
         for n in range(times):
-            self.tell("report", node + n, util)
-            self.tell("connected")
+            self.tell("node_reported", node + n, util)
+            self.tell("connection_opened")
 
     @invariant()
     def sound(self) -> None:
-        detector, f = self.pair[0], self.pair[0].figures()
+        detector, f = self.pair[0], self.pair[0].metrics()
         assert all(0 <= share <= 1 for share in (f.repeats, f.refused, f.top_tenant, f.util))
         assert all(0 <= x < float("inf") for x in astuple(f) if isinstance(x, float))
-        assert len(detector._nodes.last) <= MOST_NODES
+        assert len(detector._nodes.last) <= MAX_NODES
         assert detector.phase is CALM or detector.due() is not None
 
 
@@ -186,52 +198,52 @@
 
 def test_a_step_of_the_clock_ends_a_storm_in_order_and_teaches_nothing() -> None:
     storm = Callers().play(15, Outage(10, 15)).detector
-    usual, late = storm.figures().usual_per_s, 10**6 * S
+    usual, late = storm.metrics().usual_per_s, 10**6 * S
     assert storm.phase is STORM and not storm.arrival(late, 1, 0, 0, False) and not storm.advance(late)
-    for now in range(late, late + 10 * S, TICK):
+    for now in range(late, late + 10 * S, EVALUATION_INTERVAL_US):
         storm.advance(now)
-    assert storm.phase is CALM and storm.figures().usual_per_s > usual * 0.8
+    assert storm.phase is CALM and storm.metrics().usual_per_s > usual * 0.8
 
 
 def test_a_step_of_the_clock_sustains_nothing() -> None:
-    detector = StormDetector(StormTerms(), 1)
-    for now in (*range(0, 12 * TICK, TICK), 20 * S):
+    detector = StormDetector(StormDetectorConfig(), 1)
+    for now in (*range(0, 12 * EVALUATION_INTERVAL_US, EVALUATION_INTERVAL_US), 20 * S):
         for key in range(20):
             detector.arrival(now, key, 0, 0, True)
-            detector.ended(now, key, "refused")
+            detector.request_ended(now, key, "refused")
         assert detector.advance(now) is None
 
 
 def test_a_refusal_explains_one_repeat_and_not_for_ever() -> None:
-    detector = StormDetector(StormTerms(), 1)
+    detector = StormDetector(StormDetectorConfig(), 1)
     memory = detector.terms.memory_us
     for key, wait, repeat in ((1, 3 * MS, True), (2, memory, True), (3, memory + 5 * MS, False)):
         assert not detector.arrival(0, key, 0, 0, False)
-        detector.ended(0, key, "refused")
+        detector.request_ended(0, key, "refused")
         assert detector.arrival(wait, key, 0, 0, False) is repeat
         assert not detector.arrival(wait, key, 0, 0, False)
 
 
 def test_new_connections_and_served_repeats_are_no_storm() -> None:
-    detector, seen = StormDetector(StormTerms(), 1), []
+    detector, seen = StormDetector(StormDetectorConfig(), 1), []
     for now in range(0, 20 * S, 10 * MS):
         late = now > 10 * S
         detector.arrival(now, now, 0, 0, marked=not late)
-        detector.ended(now, now, "refused" if late else "served")
+        detector.request_ended(now, now, "refused" if late else "served")
         if late:
-            detector.connected(now)
+            detector.connection_opened(now)
         if change := detector.advance(now):
             seen.append((change.phase, late))
     assert seen == [(RISING, True)]
 
 
 def test_nodes_that_get_over_it_end_a_storm_while_repeats_still_come() -> None:
-    detector, rng, seen = StormDetector(StormTerms(), 1), Random(3), []
+    detector, rng, seen = StormDetector(StormDetectorConfig(), 1), Random(3), []
     for now in range(0, 30 * S, 5 * MS):
         late = now > 15 * S
         detector.arrival(now, now, 0, 0, rng.random() < 0.5)
-        detector.ended(now, now, "served" if rng.random() < (0.7 if late else 0.2) else "refused")
-        detector.report(now, 1, 0.5 if late else 1.0)
+        detector.request_ended(now, now, "served" if rng.random() < (0.7 if late else 0.2) else "refused")
+        detector.node_reported(now, 1, 0.5 if late else 1.0)
         if change := detector.advance(now):
             seen.append((change.phase, late, change.figures.repeats > 0.3))
     assert seen[-2:] == [(STORM, False, True), (RECOVERY, True, True)]
--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from fleet_rig import Callers, fleet
+from fleet_rig import LoadClients, running_fleet
 from test_copies import Orders
 
 HERE = Path(__file__).parent
@@ -53,10 +53,10 @@
     assert done.returncode not in (0, 5) and "test_that_hangs" in done.stderr
 
 
-@pytest.mark.parametrize("kind", [Callers, Orders])
-def test_callers_end_with_a_test_that_fails(tmp_path: Path, kind: type[Callers] | type[Orders]) -> None:
+@pytest.mark.parametrize("kind", [LoadClients, Orders])
+def test_callers_end_with_a_test_that_fails(tmp_path: Path, kind: type[LoadClients] | type[Orders]) -> None:
     callers = None
-    with pytest.raises(ZeroDivisionError), fleet(tmp_path, 1) as rig:
+    with pytest.raises(ZeroDivisionError), running_fleet(tmp_path, 1) as rig:
         callers = kind(rig)
         assert 1 / 0
     assert callers and not any(thread.is_alive() for thread in callers.threads)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -19,11 +19,20 @@
 import pytest
 from helpers import Driver, S
 from helpers import settings as module_settings
-from plant import Node, Peer, Program, member, order, plant, settings, until
+from proxy_rig import (
+    ProxyProcess,
+    ScriptedNode,
+    ScriptedServer,
+    build_request,
+    node_entry,
+    running_proxy,
+    settings,
+    wait_until,
+)
 from test_line import Stand, listen, room_for
 
 from paddlestep import ListKind, ListUpdate, Watch
-from slatehub.discovery import node_list, terms
+from slatehub.discovery import node_list, timing
 from slatehub.discovery.node_list import NodeList
 
 RESET = struct.pack("ii", 1, 0)
@@ -31,7 +40,7 @@
 
 def test_all_waits_together_stay_under_what_the_platform_allows() -> None:
     """The largest tick that a site may have is some milliseconds; half a second is left for a loop that is busy."""
-    assert terms.worst_us(tick_us=20_000) <= terms.TOLD_US - 250_000
+    assert timing.worst_propagation_us(tick_us=20_000) <= timing.PROPAGATION_LIMIT_US - 250_000
 
 
 # ---------------------------------------------------------------- virtual time, the whole product
@@ -39,12 +48,12 @@
 # How long a call takes at the most that ends so.
 ENDS = {
     "refused": 0,
-    "never connected": terms.CONNECT_US,
+    "never connected": timing.CONNECT_TIMEOUT_US,
     "reset at once": 0,
-    "reset while it waited": terms.WAIT_MS * 1000 - 1,
+    "reset while it waited": timing.WATCH_TIMEOUT_MS * 1000 - 1,
     "503 after a queue": S,
-    "silent": terms.SILENT_US,
-    "half an answer": terms.SILENT_US,
+    "silent": timing.WATCH_DEADLINE_US,
+    "half an answer": timing.WATCH_DEADLINE_US,
 }
 
 
@@ -62,7 +71,7 @@
 def test_a_new_process_asks_soon_however_seldom_it_has_to(ask_every_s: float) -> None:
     for seed in range(100):
         d = Driver(module_settings(pushed_discovery=False, ask_every_us=int(ask_every_s * S)), seed=seed)
-        assert begun(d) - 100 * S + terms.ANSWER_US <= terms.TOLD_US / 2
+        assert begun(d) - 100 * S + timing.RESPONSE_TIMEOUT_US <= timing.PROPAGATION_LIMIT_US / 2
 
 
 @EVERY_S
@@ -77,8 +86,8 @@
             asked = begun(d)
             d.now += ENDS[end]
             d.give(ListUpdate(ListKind.FAILED))
-        answered = begun(d) + terms.ANSWER_US
-        assert answered - asked <= terms.TOLD_US - 5_000
+        answered = begun(d) + timing.RESPONSE_TIMEOUT_US
+        assert answered - asked <= timing.PROPAGATION_LIMIT_US - 5_000
 
 
 def test_failures_in_a_row_are_spread_out_over_many_proxies() -> None:
@@ -98,7 +107,7 @@
 # ---------------------------------------------------------------- real sockets
 
 
-class Moody(Peer):
+class Moody(ScriptedServer):
     """A discovery that does what it is told to for each call in turn, and tells what it has from then on."""
 
     def __init__(self, moods: list[str], members: list[dict[str, Any]]) -> None:
@@ -107,7 +116,7 @@
         self.done: list[str] = []
         super().__init__()
 
-    def reply(self, conn: socket.socket, head: str, body: bytes) -> bool:
+    def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         target, revision = head.split(" ")[1], self.revision
         self.asked.append(target)
         mood = self.moods.pop(0) if self.moods else "list"
@@ -147,16 +156,16 @@
 ])  # fmt: skip
 def test_whatever_befalls_the_calls_a_drain_is_learnt(tmp_path: Path, moods: list[str]) -> None:
     """The proxy starts from an old list; by the time it has the new one it sends nothing to who drains."""
-    nodes = [Node(), Node()]
-    members = [member(f"s-{i}", node.address) for i, node in enumerate(nodes)]
+    nodes = [ScriptedNode(), ScriptedNode()]
+    members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(nodes)]
     discovery = Moody(list(moods), [{**members[0], "phase": "DRAINING"}, members[1]])
     discovery.revision = 7
-    program = Program(tmp_path, members, discovery.address)
+    program = ProxyProcess(tmp_path, members, discovery.address)
     try:
-        until(lambda: discovery.told)
+        wait_until(lambda: discovery.told)
         assert discovery.done[: len(moods)] == moods
-        assert {program.ask(order("ok"))[0] for _ in range(4)} == {200}
-        assert not nodes[0].seen and len(nodes[1].seen) == 4
+        assert {program.request(build_request("ok"))[0] for _ in range(4)} == {200}
+        assert not nodes[0].requests and len(nodes[1].requests) == 4
     finally:
         program.process.kill()
         program.process.wait()
@@ -166,18 +175,18 @@
 
 def test_a_proxy_whose_lists_are_pushed_asks_before_it_serves(tmp_path: Path) -> None:
     """What the agent has counts as told from the first moment of a new process."""
-    nodes = [Node(), Node()]
-    members = [member(f"s-{i}", node.address) for i, node in enumerate(nodes)]
+    nodes = [ScriptedNode(), ScriptedNode()]
+    members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(nodes)]
     discovery = Moody([], [{**members[0], "phase": "DRAINING"}, members[1]])
     pushed = {**settings(), "discovery": "pushed"}
-    program = Program(tmp_path, members, discovery.address, settings=pushed)
+    program = ProxyProcess(tmp_path, members, discovery.address, settings=pushed)
     try:
-        assert {program.ask(order("ok"))[0] for _ in range(4)} == {200}
-        assert not nodes[0].seen and len(nodes[1].seen) == 4
+        assert {program.request(build_request("ok"))[0] for _ in range(4)} == {200}
+        assert not nodes[0].requests and len(nodes[1].requests) == 4
         discovery.members = [members[0], {**members[1], "phase": "DRAINING"}]
         discovery.revision = 8  # and goes on being watched
-        until(lambda: discovery.told)
-        assert program.ask(order("ok"))[0] == 200 and len(nodes[0].seen) == 1
+        wait_until(lambda: discovery.told)
+        assert program.request(build_request("ok"))[0] == 200 and len(nodes[0].requests) == 1
     finally:
         program.process.kill()
         program.process.wait()
@@ -186,12 +195,14 @@
 
 
 def test_a_silent_agent_does_not_keep_a_proxy_from_serving(tmp_path: Path) -> None:
-    node = Node()
-    members = [member("s-0", node.address)]
+    node = ScriptedNode()
+    members = [node_entry("s-0", node.address)]
     discovery = Moody(["silent"] * 9, members)
-    program = Program(tmp_path, members, discovery.address, settings={**settings(), "discovery": "pushed"})
+    program = ProxyProcess(
+        tmp_path, members, discovery.address, settings={**settings(), "discovery": "pushed"}
+    )
     try:
-        assert program.ask(order("ok"))[0] == 200 and discovery.done == ["silent"]
+        assert program.request(build_request("ok"))[0] == 200 and discovery.done == ["silent"]
     finally:
         program.process.kill()
         program.process.wait()
@@ -200,39 +211,41 @@
 
 
 def test_discovery_that_moves_while_it_is_down_is_asked_where_it_is_now(tmp_path: Path) -> None:
-    with plant(tmp_path, nodes=2) as p:
-        until(lambda: any("since=" in call for call in list(p.discovery.seen)))
+    with running_proxy(tmp_path, nodes=2) as p:
+        wait_until(lambda: any("since=" in call for call in list(p.discovery.requests)))
         tree = json.loads((tmp_path / "config.json").read_text())
         first, second = tree["known"]["members"]
         p.discovery.sock.close()  # nobody else may connect; the watch stays open, and silent
         elsewhere = Moody(["reset", "503"], [{**first, "phase": "DRAINING"}, second])
         (tmp_path / "config.json").write_text(json.dumps({**tree, "discovery": elsewhere.address}))
         p.program.process.send_signal(signal.SIGHUP)
-        until(lambda: elsewhere.told)
+        wait_until(lambda: elsewhere.told)
         assert "since=0&" in elsewhere.asked[0]
-        assert {p.program.ask(order("ok"))[0] for _ in range(3)} == {200} and not p.nodes[0].seen
+        assert {p.program.request(build_request("ok"))[0] for _ in range(3)} == {200} and not p.nodes[
+            0
+        ].requests
         elsewhere.sock.close()
 
 
 def test_a_restart_while_discovery_is_down_serves_from_the_known_list_and_learns_later(
     tmp_path: Path,
 ) -> None:
-    nodes = [Node(), Node()]
-    members = [member(f"s-{i}", node.address) for i, node in enumerate(nodes)]
+    nodes = [ScriptedNode(), ScriptedNode()]
+    members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(nodes)]
     with socket.create_server(("127.0.0.1", 0)) as spare:
         port = spare.getsockname()[1]
-    program = Program(tmp_path, members, f"127.0.0.1:{port}")
+    program = ProxyProcess(tmp_path, members, f"127.0.0.1:{port}")
     discovery = Moody([], [{**members[0], "phase": "DRAINING"}, members[1]])
     try:
-        assert program.ask(order("ok"))[0] == 200
-        until(lambda: any("discovery" in line for line in list(program.log)))  # a call has failed
-        before = [len(node.seen) for node in nodes]
+        assert program.request(build_request("ok"))[0] == 200
+        wait_until(lambda: any("discovery" in line for line in list(program.log)))  # a call has failed
+        before = [len(node.requests) for node in nodes]
         discovery.sock.close()
         discovery.sock = socket.create_server(("127.0.0.1", port))
         threading.Thread(target=discovery._accept, daemon=True).start()
-        until(lambda: discovery.told)
-        assert {program.ask(order("ok"))[0] for _ in range(4)} == {200}
-        assert len(nodes[0].seen) == before[0] and len(nodes[1].seen) == before[1] + 4
+        wait_until(lambda: discovery.told)
+        assert {program.request(build_request("ok"))[0] for _ in range(4)} == {200}
+        assert len(nodes[0].requests) == before[0] and len(nodes[1].requests) == before[1] + 4
     finally:
         program.process.kill()
         program.process.wait()
@@ -246,7 +259,9 @@
 def test_an_answer_of_the_old_discovery_that_comes_after_the_move_changes_nothing() -> None:
     """The watcher has its answer in hand, but has not run yet, when discovery moves."""
     stand = Stand()
-    told: Any = SimpleNamespace(kinds={}, zones={}, known={}, discovery=("127.0.0.1", 1), idle_us=9_000_000)
+    told: Any = SimpleNamespace(
+        kinds={}, zones={}, known={}, discovery=("127.0.0.1", 1), conn_idle_us=9_000_000
+    )
     with listen() as peer:
         listing = NodeList(told, stand.desk, room_for(stand, peer))
         turns: list[Any] = []
@@ -255,12 +270,12 @@
             gevent.sleep(0)
             turns.append(watcher)
             if len(turns) == 1:
-                listing.watcher = None  # as `resettle` leaves it for a moment
+                listing.watcher = None  # as `apply_settings` leaves it for a moment
                 listing.revision = 0
                 return {"revision": 99, "complete": True, "members": []}
             raise OSError("enough")
 
-        listing._ask = ask  # type: ignore[method-assign]
+        listing._fetch = ask  # type: ignore[method-assign]
         listing.watch(True)
         while not turns:
             gevent.sleep(0)
@@ -271,13 +286,13 @@
 def test_a_call_without_an_answer_is_given_up_after_its_time_and_no_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(node_list, "SILENT_US", 60_000)
+    monkeypatch.setattr(node_list, "WATCH_DEADLINE_US", 60_000)
     stand = Stand()
     heard: list[ListKind] = []
-    stand.desk.listed = lambda kind, *_: heard.append(kind)  # type: ignore[method-assign]
+    stand.desk.update_nodes = lambda kind, *_: heard.append(kind)  # type: ignore[method-assign]
     with listen() as peer:
         told: Any = SimpleNamespace(
-            kinds={}, zones={}, known={}, discovery=peer.getsockname(), idle_us=9_000_000
+            kinds={}, zones={}, known={}, discovery=peer.getsockname(), conn_idle_us=9_000_000
         )
         listing = NodeList(told, stand.desk, room_for(stand, peer))
         for revision in (
