--- a/slatehub/core/recovery.py
+++ b/slatehub/core/recovery.py
@@ -9,7 +9,7 @@
 
 from paddlestep.interface import Outcome, Settings
 
-from ..decisions.advice import Adviser, RetryAdviceConfig, RetryScheduler, Way, make_retry_adviser
+from ..decisions.advice import AdvicePolicy, Adviser, RetryAdviceConfig, RetryScheduler, make_retry_adviser
 from ..decisions.shutdown import ShutdownSchedule
 from ..decisions.storm import Phase, StormDetector, StormDetectorConfig
 from .commands import LogLine
@@ -28,7 +28,7 @@
     """What of it is on. `advice`: the way in which refused callers are told when to come back."""
 
     watch: bool = True
-    advice: Way = "appointments"
+    advice: AdvicePolicy = "appointments"
 
 
 OFF = RecoveryConfig(False, "none")
--- a/slatehub/decisions/__init__.py
+++ b/slatehub/decisions/__init__.py
@@ -1,2 +1,2 @@
-"""What the subsystems decide, beside the decision module: pure modules. No I/O, no clock, no sleep in here; time and
-events come in as arguments, decisions go out."""
+"""Decisions of the subsystems other than the decision module (the Balancer). These modules are pure: they do no
+I/O, read no clock and do not sleep. Time and events are arguments, decisions are return values."""
--- a/slatehub/decisions/advice/__init__.py
+++ b/slatehub/decisions/advice/__init__.py
@@ -1,5 +1,4 @@
-"""When a refused caller should come back: the way in to the three advisers. This file owns the choice among
-them by the terms; it must never advise by itself."""
+"""Retry advice for refused callers: selects one of the three advisers by the configuration."""
 
 from __future__ import annotations
 
@@ -7,25 +6,25 @@
 from random import Random
 
 from .backoff import ExponentialBackoff, FixedJitter
+from .config import AdvicePolicy, Adviser, ArrivalKind, RetryAdviceConfig
 from .retry_scheduler import RetryScheduler
-from .terms import Adviser, Coming, RetryAdviceConfig, Way
 
 __all__ = [
     "Adviser",
     "RetryAdviceConfig",
     "RetryScheduler",
-    "Coming",
+    "ArrivalKind",
     "ExponentialBackoff",
     "FixedJitter",
-    "Way",
+    "AdvicePolicy",
     "make_retry_adviser",
 ]
 
 
-def make_retry_adviser(terms: RetryAdviceConfig, rng: Random) -> Adviser:
-    """The adviser of `terms.way`. `rng`: a stream of its own, another one in each proxy."""
-    if terms.way == "appointments":
-        return RetryScheduler(terms, rng)
-    if terms.way == "exponential":
-        return ExponentialBackoff(terms, rng)
-    return FixedJitter(terms if terms.way == "fixed" else replace(terms, most_us=0), rng)
+def make_retry_adviser(config: RetryAdviceConfig, rng: Random) -> Adviser:
+    """Returns the adviser for `config.way`. `rng`: its own random stream, different in each proxy."""
+    if config.way == "appointments":
+        return RetryScheduler(config, rng)
+    if config.way == "exponential":
+        return ExponentialBackoff(config, rng)
+    return FixedJitter(config if config.way == "fixed" else replace(config, most_us=0), rng)
--- a/slatehub/decisions/advice/reservations.py
+++ b/slatehub/decisions/advice/reservations.py
@@ -1,151 +1,153 @@
-"""The diary of appointments: who is to come when, who kept it, who did not. This file owns the ring of slots
-and the tables by key, all bounded; it must never decide how many a slot may hold or who gets an appointment.
+"""The table of reservations: when each caller is expected, and whether it came. It holds the ring of slots
+and the tables by key, all of bounded size. How many reservations a slot may hold and who gets one is decided
+by the retry scheduler.
 
-An appointment lies in the list of its slot until the slot begins. From then on appointments stand in the
-order of their times and pass from queue to queue: coming, due, overdue, forgotten. So each is touched a fixed
-number of times, and a step of the clock costs no more than what is in the diary."""
+A reservation is in the list of its slot until the slot begins. From then on reservations are ordered by time
+and move from queue to queue: started, due, overdue, expired. Each is therefore touched a fixed number of
+times, and a clock step costs no more than the number of reservations in the table.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from operator import attrgetter
 
-from .terms import RetryAdviceConfig
+from .config import RetryAdviceConfig
 
-MAX_RESERVATIONS = 65_536  # appointments that are held at once
-MISSED_RETENTION_US = 1_000_000  # who missed an appointment is known as late for so long
-MAX_MISSED = 1_024  # of them, at once
+MAX_RESERVATIONS = 65_536  # reservations held at once
+MISSED_RETENTION_US = 1_000_000  # how long a caller that missed its reservation is recognised as late
+MAX_MISSED = 1_024  # missed reservations remembered at once
 
 
-class Appointment:
-    __slots__ = ("at", "kept", "key", "told")
+class Reservation:
+    __slots__ = ("at", "kept", "key", "times_advised")
 
     def __init__(self, at: int, key: int) -> None:
         self.at = at
         self.key = key
         self.kept = False
-        self.told = 1  # how often its caller has heard of it
+        self.times_advised = 1  # how often its caller was advised of it
 
 
-class Diary:
-    """`phase`: microseconds by which the slots of this proxy are shifted. Slots are numbered from the clock's
-    zero."""
+class ReservationTable:
+    """`offset_us`: offset of this proxy's slots. Slots are numbered from time 0 of the clock."""
 
-    def __init__(self, terms: RetryAdviceConfig, phase: int) -> None:
-        self.terms = terms
-        self.phase = phase
-        self.ring: list[list[Appointment]] = [[] for _ in range(terms.most_us // terms.slot_us + 2)]
+    def __init__(self, config: RetryAdviceConfig, offset_us: int) -> None:
+        self.config = config
+        self.offset_us = offset_us
+        self.ring: list[list[Reservation]] = [[] for _ in range(config.most_us // config.slot_us + 2)]
         self.next_slot: int | None = None  # the first slot that has not begun
-        self.coming: deque[Appointment] = deque()
-        self.due: deque[Appointment] = deque()
-        self.overdue: deque[Appointment] = deque()
-        self.count = 0  # appointments in the ring and in the queues
-        self.due_count = 0  # of those due, the ones not kept yet
-        self.upcoming: dict[int, Appointment] = {}  # by key, the last one given that is still to come
-        self.active: dict[int, list[Appointment]] = {}  # by key, those that can be kept now, by their times
-        self.missed: dict[int, int] = {}  # key -> time of an appointment that nobody kept, by the time
-        self.ended: list[bool] = []  # appointments that are over since `results`: kept or not
+        self.started: deque[Reservation] = deque()
+        self.due: deque[Reservation] = deque()
+        self.overdue: deque[Reservation] = deque()
+        self.count = 0  # reservations in the ring and in the queues
+        self.due_count = 0  # reservations in `due` that are not kept yet
+        self.upcoming: dict[int, Reservation] = {}  # by key, the last one made that is still to come
+        self.active: dict[int, list[Reservation]] = {}  # by key, those that can be kept now, by time
+        self.missed: dict[int, int] = {}  # key -> time of its missed reservation, in order of expiry
+        self.ended: list[bool] = []  # whether each reservation that ended since `take_results` was kept
 
     # ------------------------------------------------------------ slots
 
-    def start(self, slot: int) -> int:
-        return slot * self.terms.slot_us + self.phase
+    def slot_start(self, slot: int) -> int:
+        return slot * self.config.slot_us + self.offset_us
 
-    def first(self, at: int) -> int:
+    def first_slot(self, at: int) -> int:
         """The first slot that starts at `at` or later and has not begun."""
         assert self.next_slot is not None
-        return max(self.next_slot, -((self.phase - at) // self.terms.slot_us))
+        return max(self.next_slot, -((self.offset_us - at) // self.config.slot_us))
 
-    def last(self, now: int) -> int:
-        """The last slot that is over by the longest advice."""
-        return (now + self.terms.most_us - self.phase) // self.terms.slot_us - 1
+    def last_slot(self, now: int) -> int:
+        """The last slot that ends within the longest advice."""
+        return (now + self.config.most_us - self.offset_us) // self.config.slot_us - 1
 
-    def taken(self, slot: int) -> int:
+    def reserved_in(self, slot: int) -> int:
         return len(self.ring[slot % len(self.ring)])
 
     # ------------------------------------------------------------ time
 
     def advance(self, now: int) -> None:
-        """Time has passed; to be called before anything else at this time."""
-        terms = self.terms
-        begun = (now + terms.early_us - self.phase) // terms.slot_us + 1
+        """Advances to `now`; must be called before anything else at this time."""
+        config = self.config
+        first_unbegun = (now + config.early_us - self.offset_us) // config.slot_us + 1
         if self.next_slot is None:
-            self.next_slot = begun
-        if begun > self.next_slot:
-            for slot in range(self.next_slot, min(begun, self.next_slot + len(self.ring))):
-                self._begin(slot)
-            self.next_slot = begun
-        while self.coming and self.coming[0].at <= now + terms.early_us:
-            self._fall_due(self.coming.popleft())
-        while self.due and self.due[0].at < now - terms.early_us:
-            one = self.due.popleft()
-            self.due_count -= not one.kept
-            self.overdue.append(one)
-        while self.overdue and self.overdue[0].at < now - terms.late_us:
-            self._forget(self.overdue.popleft())
+            self.next_slot = first_unbegun
+        if first_unbegun > self.next_slot:
+            for slot in range(self.next_slot, min(first_unbegun, self.next_slot + len(self.ring))):
+                self._begin_slot(slot)
+            self.next_slot = first_unbegun
+        while self.started and self.started[0].at <= now + config.early_us:
+            self._make_due(self.started.popleft())
+        while self.due and self.due[0].at < now - config.early_us:
+            reservation = self.due.popleft()
+            self.due_count -= not reservation.kept
+            self.overdue.append(reservation)
+        while self.overdue and self.overdue[0].at < now - config.late_us:
+            self._expire(self.overdue.popleft())
         if self.missed:
-            self._clear_missed(now - terms.late_us - MISSED_RETENTION_US)
+            self._clear_missed(now - config.late_us - MISSED_RETENTION_US)
 
-    def _begin(self, slot: int) -> None:
-        ones = self.ring[slot % len(self.ring)]
-        if ones:
-            ones.sort(key=attrgetter("at"))  # given at different rates they may lie crosswise
-            self.coming.extend(ones)
+    def _begin_slot(self, slot: int) -> None:
+        reservations = self.ring[slot % len(self.ring)]
+        if reservations:
+            reservations.sort(key=attrgetter("at"))  # made at different rates they may be out of order
+            self.started.extend(reservations)
             self.ring[slot % len(self.ring)] = []
 
-    def _fall_due(self, one: Appointment) -> None:
-        if self.upcoming.get(one.key) is one:
-            del self.upcoming[one.key]
-        self.active.setdefault(one.key, []).append(one)
-        self.due.append(one)
+    def _make_due(self, reservation: Reservation) -> None:
+        if self.upcoming.get(reservation.key) is reservation:
+            del self.upcoming[reservation.key]
+        self.active.setdefault(reservation.key, []).append(reservation)
+        self.due.append(reservation)
         self.due_count += 1
 
-    def _forget(self, one: Appointment) -> None:
+    def _expire(self, reservation: Reservation) -> None:
         self.count -= 1
-        self.ended.append(one.kept)
-        if one.kept:
+        self.ended.append(reservation.kept)
+        if reservation.kept:
             return
-        self._take(one.key)  # the earliest of its key, as all earlier ones are kept or forgotten
-        self.missed.pop(one.key, None)
-        self.missed[one.key] = one.at
+        # This is the earliest of its key, as all earlier ones are kept or expired.
+        self._pop_earliest(reservation.key)
+        self.missed.pop(reservation.key, None)
+        self.missed[reservation.key] = reservation.at
 
-    def _clear_missed(self, before: int) -> None:
+    def _clear_missed(self, oldest: int) -> None:
         while self.missed:
             key = next(iter(self.missed))
-            if self.missed[key] >= before and len(self.missed) <= MAX_MISSED:
+            if self.missed[key] >= oldest and len(self.missed) <= MAX_MISSED:
                 return
             del self.missed[key]
 
     # ------------------------------------------------------------ callers
 
-    def give(self, key: int, slot: int, at: int) -> Appointment:
-        one = Appointment(at, key)
-        self.ring[slot % len(self.ring)].append(one)
-        self.upcoming[key] = one
+    def add(self, key: int, slot: int, at: int) -> Reservation:
+        reservation = Reservation(at, key)
+        self.ring[slot % len(self.ring)].append(reservation)
+        self.upcoming[key] = reservation
         self.count += 1
-        return one
+        return reservation
 
-    def keep(self, key: int, now: int) -> bool:
-        """Whether a caller with this key has an appointment now; it is over thereby."""
+    def redeem(self, key: int, now: int) -> bool:
+        """Uses up the reservation that this key has now; returns whether there is one."""
         if key not in self.active:
             return False
-        one = self._take(key)
-        one.kept = True
-        self.due_count -= one.at >= now - self.terms.early_us
+        reservation = self._pop_earliest(key)
+        reservation.kept = True
+        self.due_count -= reservation.at >= now - self.config.early_us
         return True
 
-    def _take(self, key: int) -> Appointment:
-        ones = self.active[key]
-        one = ones.pop(0)
-        if not ones:
+    def _pop_earliest(self, key: int) -> Reservation:
+        reservations = self.active[key]
+        reservation = reservations.pop(0)
+        if not reservations:
             del self.active[key]
-        return one
+        return reservation
 
-    def late(self, key: int) -> bool:
-        """Whether a caller with this key has missed its appointment; asked once."""
+    def take_missed(self, key: int) -> bool:
+        """Whether the reservation of this key was missed; True only once."""
         return self.missed.pop(key, None) is not None
 
-    def results(self) -> list[bool]:
-        """Of the appointments that are over since this was last asked, whether they were kept."""
+    def take_results(self) -> list[bool]:
+        """Whether each reservation that ended since the last call was kept."""
         ended, self.ended = self.ended, []
         return ended
