--- a/slatehub/core/commands.py
+++ b/slatehub/core/commands.py
@@ -1,4 +1,5 @@
-"""What the desk wants done. Each is carried out by whoever drives it, in the order given, and none may block."""
+"""Commands that the dispatcher issues. The driver of the dispatcher carries them out in the given order;
+carrying one out must not block."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverAnswer:
-    """The one final answer of a job, for the screen it came from: at once."""
+    """Delivers the one final answer of a job to its responder, at once."""
 
     job: Job
     answer: Answer
@@ -20,22 +21,22 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """An attempt goes out. Its end is told to the desk once, by `attempt_ended`."""
+    """Sends an attempt. Its end is reported to the dispatcher exactly once, by `attempt_ended`."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class PersistIntent:
-    """The intent of this attempt is to be made durable; then `intent_persisted`, or `intent_rejected` with what is
-    known of it."""
+    """Makes the intent of this attempt durable. The driver then calls `intent_persisted`, or
+    `intent_rejected` with an answer that says what is known of the request."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class PersistOutcome:
-    """How an attempt ended whose intent was made durable."""
+    """Stores how an attempt ended whose intent was made durable."""
 
     attempt: Attempt
     status: Status
@@ -44,21 +45,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """An attempt is given up. Its end is told all the same."""
+    """Cancels an attempt. Its end is still reported by `attempt_ended`."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class WatchNodes:
-    """The list of nodes is to be watched from now on, or no longer."""
+    """Starts or stops watching the list of nodes."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log, with the node and the exception that it is about, where there are any."""
+    """A log line, with the node and the exception that it concerns, if any."""
 
     topic: str
     text: str
--- a/slatehub/core/jobs.py
+++ b/slatehub/core/jobs.py
@@ -1,4 +1,4 @@
-"""What passes through a proxy: orders, jobs, attempts and answers. This file owns their form. Nothing in it acts."""
+"""Data types of what passes through a proxy: requests, jobs, attempts and answers. They have no behaviour."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    DEADLINE_EXCEEDED = "overdue"  # failed, for lack of time
-    OUTCOME_UNKNOWN = "doubt"  # a repeat of an order that may have run: nothing was sent
-    KEY_REUSED = "misused"  # its order key stands for another order
+    DEADLINE_EXCEEDED = "overdue"  # failed because the deadline passed
+    OUTCOME_UNKNOWN = "doubt"  # a retry of a request that may already have run: nothing was sent
+    KEY_REUSED = "misused"  # its idempotency key was used for a different request
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRequest:
-    """A request as it goes on to a machine, whatever protocol brought it and takes it on."""
+    """A request as it is sent to a node, independent of the protocols on either side."""
 
     method: str
     target: str
@@ -28,28 +28,29 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeResponse:
-    """A machine's 200 answer: whole, or as far as it has come, with where the rest is to be had."""
+    """A node's 200 response: whole, or the part received so far with a stream for the rest."""
 
     body: bytes
     content_type: str
     body_stream: BodyStream | None = None
-    length: int | None = None  # of all of it, where the machine has said
+    length: int | None = None  # of the whole body, if the node has stated it
 
 
 class BodyStream(Protocol):
-    """What is still to come of an answer that is passed on as it comes."""
+    """The rest of a response body that is forwarded while it arrives."""
 
     def read_chunk(self) -> bytes | None:
-        """The next piece, b"" at the end; None: it has broken off. May wait, for as long as the machine gives."""
+        """Returns the next chunk, b"" at the end, or None if the stream broke off. May block for as long as
+        the node is given to answer."""
 
     def close(self) -> None:
-        """Nobody takes any more of it. Must be called in any case."""
+        """Releases the stream, whether or not it was read to the end. Must always be called."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer of a job. What is printed comes from a machine and is passed on unread; of a doubt it is the
-    text that says what is known."""
+    """The one final answer of a job. `response` comes from a node and is forwarded without being parsed; with
+    OUTCOME_UNKNOWN it is the text that says what is known."""
 
     status: AnswerStatus
     response: Any = None
@@ -57,7 +58,7 @@
 
 
 class Responder(Protocol):
-    """Where a job came from."""
+    """The receiver of a job's final answer."""
 
     def answer(self, job: Job, answer: Answer) -> None: ...
 
@@ -66,43 +67,55 @@
     """A request, from its last byte until its final answer and the end of its last attempt."""
 
     __slots__ = (
-        "tenant", "answered", "attempts", "cls", "deadline", "early", "came_on_time", "fingerprint", "most",
-        "request_id", "number", "request", "intent_register", "is_retry", "responder", "claim_token",
+        "tenant", "answered", "attempts", "cls", "deadline", "came_early", "came_on_time", "fingerprint",
+        "max_attempts", "request_id", "number", "request", "intent_register", "is_retry", "responder",
+        "claim_token",
     )  # fmt: skip
 
     def __init__(
-        self, name: str, cls: int, account: int, deadline: int, order: Any, screen: Responder, repeat: bool = False,
-        key: int = 0,
+        self, request_id: str, cls: int, tenant: int, deadline: int, request: Any, responder: Responder,
+        is_retry: bool = False, fingerprint: int = 0,
     ) -> None:  # fmt: skip
-        self.request_id = name
+        self.request_id = request_id
         self.cls = cls
-        self.tenant = account
+        self.tenant = tenant
         self.deadline = deadline
-        self.request = order  # what the front and the machines say of it; nothing in the core reads it
-        self.responder = screen
-        self.is_retry = repeat  # marked by the caller as a further try
-        self.fingerprint = key  # alike for all tries of an order
-        self.intent_register = b""  # the register that must hold its intent before it is sent; b"": none need
-        self.claim_token = 0  # by which that register knows this job
-        self.came_on_time = False  # has come when it was told to
-        self.early = False  # has come before that
+        # In the form that the front and the node client use; the core does not read it.
+        self.request = request
+        self.responder = responder
+        self.is_retry = is_retry  # marked as a retry by the caller
+        self.fingerprint = fingerprint  # the same for all tries of a request
+        # Key of the register that must hold the intent before the job is sent; b"": none is needed.
+        self.intent_register = b""
+        self.claim_token = 0  # by which that register identifies this job
+        self.came_on_time = False  # arrived at the time its caller was advised
+        self.came_early = False  # arrived before that time
         self.number = 0
-        self.most = 1  # attempts that its settings allow
+        self.max_attempts = 1  # attempts that the settings allow for it
         self.attempts: list[Attempt] = []
         self.answered = False
 
 
 class Attempt:
-    """One Send: its place among the job's attempts, where it goes and until when."""
+    """One attempt to send a job: its number within the job, its node and its deadline."""
 
-    __slots__ = ("deadline", "endpoint", "exchange", "held", "job", "number", "finished", "sent_at")
-
-    def __init__(self, job: Job, number: int, endpoint: int, sent: int, deadline: int) -> None:
+    __slots__ = (
+        "deadline",
+        "endpoint",
+        "exchange",
+        "awaiting_intent",
+        "job",
+        "number",
+        "finished",
+        "sent_at",
+    )
+
+    def __init__(self, job: Job, number: int, endpoint: int, sent_at: int, deadline: int) -> None:
         self.job = job
         self.number = number
         self.endpoint = endpoint
-        self.sent_at = sent
+        self.sent_at = sent_at
         self.deadline = deadline
         self.finished = False
-        self.held = False  # waits until its intent is durable: nothing of it has gone out
-        self.exchange: Any = None  # the floor's own
+        self.awaiting_intent = False  # waits until its intent is durable: nothing of it has been sent
+        self.exchange: Any = None  # private state of the transport
--- a/slatehub/core/stages.py
+++ b/slatehub/core/stages.py
@@ -1,5 +1,5 @@
-"""The stages that a job passes, each a unit of its own, and the ledger they share. Their chain stands in
-`Dispatcher.__init__`. No stage may look at a clock or do anything to the outside: what it wants goes out as acts."""
+"""The stages that a job passes through, and the job table they share. They are chained in
+`Dispatcher.__init__`. A stage must not read a clock or do I/O: it emits commands instead."""
 
 from __future__ import annotations
 
@@ -17,85 +17,82 @@
 
 
 class JobTable:
-    """What the stages share: the jobs in hand, by the number the module knows and by the caller's name."""
+    """The open jobs, by the number that the decision module uses and by the caller's request id."""
 
     def __init__(self) -> None:
         self.jobs: dict[int, Job] = {}
         self.by_request_id: dict[str, Job] = {}
         self.last_number = 0
-        self.deadlines: list[
-            tuple[int, int]
-        ] = []  # (deadline, number): a heap; who is answered leaves it when met
+        # Heap of (deadline, number). Answered jobs are removed when they reach the top.
+        self.deadlines: list[tuple[int, int]] = []
 
     def add(self, job: Job) -> None:
         self.last_number += 1
         job.number = self.last_number
         self.jobs[job.number] = self.by_request_id[job.request_id] = job
         heappush(self.deadlines, (job.deadline, job.number))
-        if (
-            len(self.deadlines) > 4 * len(self.by_request_id) + 64
-        ):  # guards against deadlines of hours that outlive their jobs
-            self.deadlines = [end for end in self.deadlines if self._open(end[1])]
+        # Keeps the deadlines of answered jobs, which may be hours ahead, from piling up.
+        if len(self.deadlines) > 4 * len(self.by_request_id) + 64:
+            self.deadlines = [entry for entry in self.deadlines if self._awaits_answer(entry[1])]
             heapify(self.deadlines)
 
-    def hurry(self, by: int) -> None:
-        """Nobody in hand has longer than this."""
+    def cap_deadlines(self, latest: int) -> None:
+        """Brings the deadline of every open job forward to `latest`, where it is later."""
         for job in self.jobs.values():
-            job.deadline = min(job.deadline, by)
+            job.deadline = min(job.deadline, latest)
         self.deadlines = [(job.deadline, number) for number, job in self.jobs.items() if not job.answered]
         heapify(self.deadlines)
 
-    def _open(self, number: int) -> bool:
+    def _awaits_answer(self, number: int) -> bool:
         job = self.jobs.get(number)
         return job is not None and not job.answered
 
     def next_deadline(self) -> int | None:
-        """When the first job in hand that has no answer yet runs out of time."""
-        while self.deadlines and not self._open(self.deadlines[0][1]):
+        """The earliest deadline of an open job that has no answer yet."""
+        while self.deadlines and not self._awaits_answer(self.deadlines[0][1]):
             heappop(self.deadlines)
         return self.deadlines[0][0] if self.deadlines else None
 
-    def overdue(self, now: int) -> list[Job]:
-        """The jobs without an answer whose time is up; each is named once."""
-        late = []
-        while (end := self.next_deadline()) is not None and end <= now:
-            late.append(self.jobs[heappop(self.deadlines)[1]])
-        return late
+    def pop_overdue(self, now: int) -> list[Job]:
+        """The unanswered jobs whose deadline has passed; each is returned once."""
+        expired = []
+        while (entry := self.next_deadline()) is not None and entry <= now:
+            expired.append(self.jobs[heappop(self.deadlines)[1]])
+        return expired
 
 
-class TakeIn:
-    """First stage: a job enters the ledger. False where its name is still in hand: two jobs under one name could
-    not be told apart by the machines."""
+class RegisterJob:
+    """First stage: adds a job to the table. Returns False if its request id is already in use: the nodes
+    could not tell two jobs with one id apart."""
 
-    def __init__(self, ledger: JobTable, most: int) -> None:
-        self.job_table = ledger
-        self.most = (
-            most  # attempts, of a job that comes in now: it keeps that number whatever the settings say later
-        )
+    def __init__(self, job_table: JobTable, max_attempts: int) -> None:
+        self.job_table = job_table
+        # For jobs that arrive from now on: a job keeps its number when the settings change later.
+        self.max_attempts = max_attempts
 
     def __call__(self, job: Job) -> bool:
         if job.request_id in self.job_table.by_request_id:
             return False
-        job.most = self.most
+        job.max_attempts = self.max_attempts
         self.job_table.add(job)
         return True
 
 
 class Admit:
-    """Second stage: the job as the module sees it, with the time left at the moment of the batch, and what it has to
-    leave to those who were told to come now."""
+    """Second stage: converts the job to the decision module's form, with the time left when the batch is
+    processed, and the slots it must leave free for callers who were advised to come now."""
 
     def __init__(self, recovery: Recovery) -> None:
         self.recovery = recovery
 
     def __call__(self, job: Job, now: int) -> Arrival:
-        left = max(0, job.deadline - now)
-        reserve = self.recovery.reserve(now, job)
+        left_us = max(0, job.deadline - now)
+        reserve = self.recovery.reserved_slots(now, job)
         return Arrival(
             job.number,
             job.cls,
             job.tenant,
-            left_us=left,
+            left_us=left_us,
             repeat=job.is_retry,
             kept=job.came_on_time,
             reserve=reserve,
@@ -103,28 +100,29 @@
 
 
 class Route:
-    """Third stage: the module's Send becomes an attempt with its limit of time; None for a job it does not hold."""
+    """Third stage: turns a Send of the decision module into an attempt with a deadline. Returns None for an
+    unknown job."""
 
-    def __init__(self, ledger: JobTable) -> None:
-        self.job_table = ledger
+    def __init__(self, job_table: JobTable) -> None:
+        self.job_table = job_table
 
     def __call__(self, action: Send, now: int) -> Attempt | None:
         job = self.job_table.jobs.get(action.request)
         if job is None:
             return None
-        limit = min(job.deadline, now + action.timeout_us) if action.timeout_us > 0 else job.deadline
-        attempt = Attempt(job, len(job.attempts), action.endpoint, now, limit)
+        deadline = min(job.deadline, now + action.timeout_us) if action.timeout_us > 0 else job.deadline
+        attempt = Attempt(job, len(job.attempts), action.endpoint, now, deadline)
         job.attempts.append(attempt)
         return attempt
 
-    def moot(self, attempt: Attempt, now: int) -> bool:
-        """Whether it must not go out: the job is over, out of time, or out of attempts."""
-        return attempt.job.answered or attempt.deadline <= now or attempt.number >= attempt.job.most
+    def is_moot(self, attempt: Attempt, now: int) -> bool:
+        """Whether it must not be sent: the job is answered, past its deadline or out of attempts."""
+        return attempt.job.answered or attempt.deadline <= now or attempt.number >= attempt.job.max_attempts
 
 
-class Vouch:
-    """Between the third and the fourth stage: an attempt that must not run twice waits until its intent is durable.
-    Nothing of it goes out before. False where it need not wait."""
+class HoldForIntent:
+    """Between the third and the fourth stage: holds an attempt that must not run twice until its intent is
+    durable. Nothing of it is sent before. Returns False if it need not wait."""
 
     def __init__(self, emit: Emit) -> None:
         self.emit = emit
@@ -132,13 +130,13 @@
     def __call__(self, attempt: Attempt) -> bool:
         if not attempt.job.intent_register:
             return False
-        attempt.held = True
+        attempt.awaiting_intent = True
         self.emit(PersistIntent(attempt))
         return True
 
 
-class SendOut:
-    """Fourth stage: the attempt goes to the floor, which reports its end on its own."""
+class StartSending:
+    """Fourth stage: hands the attempt to the transport, which reports its end on its own."""
 
     def __init__(self, emit: Emit) -> None:
         self.emit = emit
@@ -148,13 +146,14 @@
 
 
 class Advise:
-    """Beside the fifth stage: a refusal says when to come back, where the settings allow it. No answer is held back."""
+    """Part of the fifth stage: adds to a refusal when to retry, if the settings allow it. It never delays an
+    answer."""
 
     def __init__(self, recovery: Recovery) -> None:
         self.recovery = recovery
 
     def __call__(self, job: Job, answer: Answer, now: int) -> Answer:
-        self.recovery.answered(now, job, answer.status)
+        self.recovery.job_answered(now, job, answer.status)
         if answer.status is not AnswerStatus.REFUSED:
             return answer
         wait = self.recovery.advise(now, job, answer)
@@ -162,11 +161,11 @@
 
 
 class Relay:
-    """Fifth stage: the one final answer goes to where the job came from, at once. All answers pass here, and
-    only the first of a job gets through."""
+    """Fifth stage: delivers the one final answer to the job's responder, at once. All answers pass through
+    here, and only the first of each job is delivered."""
 
-    def __init__(self, ledger: JobTable, advise: Advise, emit: Emit) -> None:
-        self.job_table = ledger
+    def __init__(self, job_table: JobTable, advise: Advise, emit: Emit) -> None:
+        self.job_table = job_table
         self.advise = advise
         self.emit = emit
 
@@ -175,26 +174,28 @@
             return False
         job.answered = True
         self.job_table.by_request_id.pop(job.request_id, None)
-        if answer:  # None: the caller has gone
+        if answer:  # None: the caller has disconnected
             self.emit(DeliverAnswer(job, self.advise(job, answer, now)))
         return True
 
 
-class Book:
-    """Last stage: the outcome as the module gets it, once an attempt; a job leaves the ledger with its last."""
+class RecordOutcome:
+    """Last stage: converts the end of an attempt to the decision module's Outcome, once per attempt, and
+    removes a job from the table with its last attempt."""
 
-    def __init__(self, ledger: JobTable) -> None:
-        self.job_table = ledger
+    def __init__(self, job_table: JobTable) -> None:
+        self.job_table = job_table
 
     def __call__(self, attempt: Attempt, status: Status, now: int, report: tuple[float, ...]) -> Outcome:
         attempt.finished = True
         attempt.exchange = None
         job = attempt.job
         self.close(job)
-        lag = max(0, now - attempt.sent_at)
-        return Outcome(job.number, attempt.number, attempt.endpoint, status, lag, job.answered, report)
+        elapsed_us = max(0, now - attempt.sent_at)
+        return Outcome(job.number, attempt.number, attempt.endpoint, status, elapsed_us, job.answered, report)
 
     def close(self, job: Job) -> None:
         if job.answered and all(a.finished for a in job.attempts):
             self.job_table.jobs.pop(job.number, None)
-            job.attempts = []  # each holds the job: a ring in which its body would wait for the collector
+            # Each attempt refers to the job: the cycle would keep its body until the garbage collector runs.
+            job.attempts = []
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -160,7 +160,9 @@
             left = self.rng.randrange(1, self.settings.classes[kind].deadline_us + 1)
             name = f"o{len(self.jobs)}"
             self.answers[name] = []
-            job = Job(name, kind, tenant, self.now + left, None, Screen(), self.rng.random() < 0.2, key=kind)
+            job = Job(
+                name, kind, tenant, self.now + left, None, Screen(), self.rng.random() < 0.2, fingerprint=kind
+            )
             self.jobs.append(job)
             assert self.desk.submit(self.now, job)
         elif what == "end" and self.out:
