--- a/slatehub/fronts/__init__.py
+++ b/slatehub/fronts/__init__.py
@@ -1,2 +1,3 @@
-"""Fronts: where jobs come from. Each front turns its protocol into checked Jobs and writes the one answer back; all go
-by the same checker (check.py). No front may know another, or any node protocol."""
+"""Fronts: the protocols over which callers send requests. Each front turns its protocol into validated Jobs and writes
+the one answer of each back. All use the same validation (validation.py). A front depends on no other front and on no
+protocol towards the nodes."""
--- a/slatehub/fronts/http1/__init__.py
+++ b/slatehub/fronts/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Callers over HTTP/1.1."""
+"""The HTTP/1.1 front for callers."""
--- a/slatehub/fronts/http1/server.py
+++ b/slatehub/fronts/http1/server.py
@@ -1,6 +1,8 @@
-"""The order screens: the listener, each caller's connection, and HTTP turned into Jobs and back. It owns what comes
-from callers until it is a whole, checked order, and writes each answer once. It must never let a bad request near a
-node, never word a refusal that the desk did not give for a job taken in, and never let one caller hold up another."""
+"""The HTTP/1.1 server for callers: the listener, the callers' connections, and the translation of requests into Jobs
+and of final answers into responses.
+
+A request stays here until it is complete and valid, and each response is written once. An invalid request never reaches
+a node. For an accepted job, only the dispatcher may refuse. No caller may block another."""
 
 from __future__ import annotations
 
@@ -13,8 +15,7 @@
 
 import gevent
 from gevent import socket
-from gevent.event import AsyncResult
-from gevent.event import Event as Bell
+from gevent.event import AsyncResult, Event
 from gevent.queue import Queue
 
 from ...core.jobs import Answer, AnswerStatus, BodyStream, Job, NodeRequest, NodeResponse
@@ -38,129 +39,135 @@
 )
 from .request_parser import RequestParser
 
-FIRST_BYTE_TIMEOUT_US = 2_200_000  # for the first byte on a new connection
-FIRST_REQUEST_TIMEOUT_US = 2_700_000  # from connecting, for the whole of the first request
-REQUEST_TIMEOUT_US = 4_000_000  # for the whole of a later request once begun, where its body asks for no more
-BODY_START_TIMEOUT_US = 1_000_000  # for a body to begin to come
-BODY_PER_S = 48_000  # bytes of a body that come in a second on average, from then on
-SMALL_PART = 8  # of the bytes in hand one such part is kept from large bodies
-ROOM_US = 10_000_000  # for a large body to find room
-KEEP_ALIVE_US = 10_000_000  # between requests
-RESPONSE_WRITE_TIMEOUT_US = 10_000_000  # for a caller to take its answer
-LINGER_US = 4_000_000  # for a caller to stop sending after an answer that ends the connection
-PACE_S = 0.002  # between two looks at what such a caller still sends
-GONE_S = 0.03  # between two looks whether callers who are not being read have gone: no attempt may begin 0.1 s later
-MAX_READ_AHEAD_BYTES = (
-    4 * 1024 * 1024
-)  # bytes taken off the system's hands meanwhile: behind more of them no close is seen
-AHEAD_PART = 4  # of the bytes in hand, such of all callers are one such part at the most
-AHEAD_PIECES = 64  # at a time, so that one who writes without end leaves the others their turn
-MIN_EVICTION_AGE_US = 200_000  # a connection younger than this may have its first request on its way
-AHEAD = 1  # pipelined requests kept before their turn; what comes after them stays with the kernel
-DELIVERY_MARGIN_US = 5_000  # an answer must have reached the caller by its time, not just have left here
-NEWCOMER_US = 500_000  # while callers should go, for the first request on a connection just made
-REASONS = {
+FIRST_BYTE_TIMEOUT_US = 2_200_000  # until the first byte on a new connection
+FIRST_REQUEST_TIMEOUT_US = 2_700_000  # from accepting the connection until the first request is complete
+REQUEST_TIMEOUT_US = 4_000_000  # from the start of a later request until it is complete; a body can extend it
+BODY_START_TIMEOUT_US = 1_000_000  # until the first byte of a body
+MIN_BODY_BYTES_PER_S = 48_000  # minimum average rate of a body after that
+SMALL_REQUEST_MEMORY_DIVISOR = 8  # one part in so many of the memory limit is reserved for small requests
+MEMORY_WAIT_TIMEOUT_US = 10_000_000  # until a large body gets memory
+KEEP_ALIVE_US = 10_000_000  # idle time between requests
+RESPONSE_WRITE_TIMEOUT_US = 10_000_000  # for a caller to receive one write
+LINGER_TIMEOUT_US = 4_000_000  # for a caller to stop sending after a response that closes the connection
+DISCARD_INTERVAL_S = 0.002  # between two reads that discard what such a caller still sends
+# Interval between checks for disconnected callers while their connections are not read. No attempt may begin later than
+# 0.1 s after the caller disconnected.
+DISCONNECT_CHECK_INTERVAL_S = 0.03
+# Limit of read-ahead per connection. A close that follows more bytes than this is not detected until they are read.
+MAX_READ_AHEAD_BYTES = 4 * 1024 * 1024
+READ_AHEAD_MEMORY_DIVISOR = 4  # one part in so many of the memory limit is available for all read-ahead
+MAX_READ_AHEAD_CHUNKS = 64  # per call, so that a caller that sends without pause does not block the others
+MIN_EVICTION_AGE_US = 200_000  # the first request of a younger connection may still be in transit
+MAX_QUEUED_REQUESTS = 1  # parsed pipelined requests per connection; later ones stay in the kernel buffer
+DELIVERY_MARGIN_US = 5_000  # an answer must reach the caller by the deadline, not only be sent by then
+NEW_CONNECTION_GRACE_US = 500_000  # for the first request of a new connection during a planned stop
+REASON_PHRASES = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
     409: "Conflict", 413: "Content Too Large", 422: "Unprocessable Content", 431: "Request Header Fields Too Large",
     500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
 }  # fmt: skip
-RESET = struct.pack(
-    "ii", 1, 0
-)  # SO_LINGER: a close that resets, where a clean end would pass for a whole answer
-PASSED_ON = ("x-request-id", "x-priority-class", "x-tenant-id", "x-retried", "x-attrs", "content-type")
+# SO_LINGER value that makes close() send RST. A FIN would make a truncated response without a length look complete.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+FORWARDED_HEADERS = (
+    "x-request-id",
+    "x-priority-class",
+    "x-tenant-id",
+    "x-retried",
+    "x-attrs",
+    "content-type",
+)
 
 
 class CallerConnection:
-    """One caller's connection: a greenlet reads, another serves what was read, in turn."""
+    """A caller's connection. One greenlet reads and parses requests, another serves them in order."""
 
-    def __init__(self, hall: HttpServer, sock: Any) -> None:
-        self.http_server = hall
+    def __init__(self, http_server: HttpServer, sock: Any) -> None:
+        self.http_server = http_server
         self.sock = sock
-        self.since = clock()
-        self.fresh = True  # nothing has been served on it
-        self.weight = 0  # bytes of requests in hand
-        self.read_ahead_buffer = bytearray()  # come while the reader stood still, and not read yet
-        self.headed = self.least = (
-            0  # of the request that is coming: when its head had come, its time at the least
-        )
-        self.item: ReceivedRequest | LocalResponse | None = None  # what is being served
-        self.timer: Timer | None = None  # for what the caller is waited for
+        self.idle_since = clock()  # when it was accepted or the last response was complete
+        self.fresh = True  # no request has been served yet
+        self.buffered_bytes = 0  # this connection's share of HttpServer.bytes_held
+        self.read_ahead_buffer = bytearray()  # received while the reader was paused, not parsed yet
+        # Of the request that is being received: when its head was complete, and the earliest time of its timeout.
+        self.head_received_at = self.min_deadline = 0
+        self.current: ReceivedRequest | LocalResponse | None = None  # being served
+        self.timer: Timer | None = None  # the one timeout in force
         self.parser = RequestParser()
-        self.orders: Queue[ReceivedRequest | LocalResponse] = Queue(AHEAD)
+        self.requests: Queue[ReceivedRequest | LocalResponse] = Queue(MAX_QUEUED_REQUESTS)
         self.job: Job | None = None
         self.result: AsyncResult[Answer] = AsyncResult()
-        self.rest: BodyStream | None = None  # of a large answer that is being passed on
-        self.serving = False  # an order has been picked up and is not yet answered
+        self.response_stream: BodyStream | None = None  # of a large response that is being forwarded
+        self.serving = False  # a request was taken from the queue and is not answered yet
         self.closed = False
-        self._expect(self.since + FIRST_BYTE_TIMEOUT_US, self._quiet)
-        self.reader = gevent.spawn(self._read)
-        self.server = gevent.spawn(self._serve)
+        self._set_timeout(self.idle_since + FIRST_BYTE_TIMEOUT_US, self._on_idle_timeout)
+        self.reader = gevent.spawn(self._read_loop)
+        self.handler = gevent.spawn(self._serve_loop)
 
     @property
     def idle(self) -> bool:
-        return not (self.owed or self.parser.in_request)
+        return not (self.has_unanswered_request or self.parser.in_request)
 
     @property
-    def owed(self) -> bool:
-        """Whether a whole request has come that is not yet answered."""
-        return self.serving or self.orders.qsize() > 0
+    def has_unanswered_request(self) -> bool:
+        """Whether a complete request has been received that is not answered yet."""
+        return self.serving or self.requests.qsize() > 0
 
     def answer(self, job: Job, answer: Answer) -> None:
-        wanted = (
-            job is self.job
-        )  # else it was for a request that has ended here, and must not answer the next one
-        if (self.closed or not wanted) and answer.response and answer.response.body_stream:
+        # An answer for a request that has already ended here must not answer the next one.
+        is_current = job is self.job
+        if (self.closed or not is_current) and answer.response and answer.response.body_stream:
             answer.response.body_stream.close()
-        if wanted:
+        if is_current:
             self.result.set(answer)
 
     def close(self) -> None:
         if self.closed:
             return
         self.closed = True
-        self._expect()
-        if self.rest:
-            self.rest.close()
+        self._set_timeout()
+        if self.response_stream:
+            self.response_stream.close()
         elif (
             self.result.ready()
             and (answer := self.result.get())
             and answer.response
             and answer.response.body_stream
         ):
-            answer.response.body_stream.close()  # it had come, and nobody had begun to write it
-        self.http_server.bytes_held -= self.weight
+            answer.response.body_stream.close()  # received, but forwarding had not begun
+        self.http_server.bytes_held -= self.buffered_bytes
         self.http_server.bytes_read_ahead -= len(self.read_ahead_buffer)
-        self.weight = 0
+        self.buffered_bytes = 0
         self.read_ahead_buffer.clear()
         self.http_server.memory_released.set()
         if self.job:
             self.http_server.dispatcher.caller_disconnected(self.job)
-        for greenlet in (self.reader, self.server):
+        for greenlet in (self.reader, self.handler):
             if greenlet is not gevent.getcurrent():
                 greenlet.kill(block=False)
-        # Each greenlet holds the screen: rings, in which all that passed here would wait for the collector.
-        del self.reader, self.server
+        # The greenlets refer to this object; without these cycles its data is freed without the garbage collector.
+        del self.reader, self.handler
         self.sock.close()
         self.parser.close()
         self.http_server.remove(self)
 
     @property
-    def quiet(self) -> bool:
-        """Whether nothing is on its way from this caller: closing now crosses no request. What has come may not have
-        been read yet while many come at once."""
-        return not (self.read_ahead_buffer or self._come)
+    def input_empty(self) -> bool:
+        """Whether no received bytes are waiting to be read, so that closing now loses no request. Under load a request
+        may have arrived that the reader has not got to yet."""
+        return not (self.read_ahead_buffer or self._readable)
 
     @property
-    def _come(self) -> bool:
-        """Whether there is something to receive, be it the caller's end."""
+    def _readable(self) -> bool:
+        """Whether the socket has data or an end of file to receive."""
         poll = select.poll()
         poll.register(self.sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     @property
-    def gone(self) -> bool:
-        """Whether the caller has closed, or reset, while it is owed the answer of a job; also behind bytes that nobody
-        has read. Who has shut only its sending side counts as gone too: nothing tells the two apart."""
+    def disconnected(self) -> bool:
+        """Whether the caller closed or reset the connection while one of its jobs is unanswered, even if unread bytes
+        precede the close. A caller that shut down only its sending side counts as disconnected too, because the two
+        cases cannot be told apart."""
         if self.job is None or self.closed:
             return False
         poll = select.poll()
@@ -168,82 +175,92 @@
         return bool(poll.poll(0))
 
     @contextmanager
-    def _deaf(self) -> Iterator[None]:
-        """While the reader stands still it does not hear its caller go."""
-        self.http_server.unheard(self)
+    def _reader_paused(self) -> Iterator[None]:
+        """Registers the connection for disconnect checks while its reader is paused and cannot see a close."""
+        self.http_server.mark_reader_paused(self)
         try:
             yield
         finally:
-            if not self.parser.error:  # after one nothing is read any more
-                self.http_server.deaf.discard(self)
+            if not self.parser.error:  # after an error nothing more is read
+                self.http_server.paused_readers.discard(self)
 
     def read_ahead(self) -> None:
-        """Takes what has come off the system's hands, unread, while the reader stands still: once the system holds no
-        more, its caller's close stays behind that, with the caller. Not of a large body that waits for its room."""
-        for _ in range(AHEAD_PIECES):
-            full = (
+        """Receives bytes without parsing them while the reader is paused. With a full kernel buffer the caller's FIN
+        could not arrive. Does nothing while a large body waits for memory."""
+        for _ in range(MAX_READ_AHEAD_CHUNKS):
+            is_full = (
                 len(self.read_ahead_buffer) >= MAX_READ_AHEAD_BYTES
-                or self.http_server.bytes_read_ahead >= self.http_server.memory_limit // AHEAD_PART
+                or self.http_server.bytes_read_ahead
+                >= self.http_server.memory_limit // READ_AHEAD_MEMORY_DIVISOR
             )
-            if self.closed or self.job is None or self in self.http_server.in_line or full or not self._come:
+            if (
+                self.closed
+                or self.job is None
+                or self in self.http_server.memory_waiters
+                or is_full
+                or not self._readable
+            ):
                 return
-            piece = self.sock.recv(READ_CHUNK_BYTES)
-            if not piece:
+            chunk = self.sock.recv(READ_CHUNK_BYTES)
+            if not chunk:
                 return
-            if not self.parser.error:  # after one nothing is read any more
-                self.read_ahead_buffer += piece
-                self.http_server.bytes_read_ahead += len(piece)
-                self.weight += len(piece)
-                self.http_server.bytes_held += len(piece)
-
-    def _next(self) -> bytes:
-        """What the caller has sent next."""
-        piece = bytes(self.read_ahead_buffer[:READ_CHUNK_BYTES])
+            if not self.parser.error:  # after an error nothing more is read
+                self.read_ahead_buffer += chunk
+                self.http_server.bytes_read_ahead += len(chunk)
+                self.buffered_bytes += len(chunk)
+                self.http_server.bytes_held += len(chunk)
+
+    def _receive(self) -> bytes:
+        """The next bytes from the caller, read-ahead first."""
+        chunk = bytes(self.read_ahead_buffer[:READ_CHUNK_BYTES])
         del self.read_ahead_buffer[:READ_CHUNK_BYTES]
-        self.http_server.bytes_read_ahead -= len(piece)
-        return piece or bytes(self.sock.recv(READ_CHUNK_BYTES))
+        self.http_server.bytes_read_ahead -= len(chunk)
+        return chunk or bytes(self.sock.recv(READ_CHUNK_BYTES))
 
-    # ------------------------------------------------------------ what a caller is waited for
+    # ------------------------------------------------------------ timeouts and memory
 
-    def _expect(self, due: int = 0, ring: Callable[[], None] | None = None) -> None:
-        """The one limit of time that this caller is under; none while a whole request of its is in hand."""
+    def _set_timeout(self, deadline: int = 0, callback: Callable[[], None] | None = None) -> None:
+        """Replaces the timeout of this caller. None is in force while a complete request is being served."""
         if self.timer:
             self.timer.cancel()
-        self.timer = Timer(due, ring) if ring and not self.closed else None
+        self.timer = Timer(deadline, callback) if callback and not self.closed else None
 
-    def _due(self) -> int:
-        """Until when the rest of this request is waited for: longer for a body that goes on coming at a fair pace."""
+    def _request_deadline(self) -> int:
+        """When the request that is being received times out. A body that keeps the minimum rate extends it."""
         if self.parser.in_head:
-            return self.least
-        self.headed = self.headed or clock()
+            return self.min_deadline
+        self.head_received_at = self.head_received_at or clock()
         return max(
-            self.least, self.headed + BODY_START_TIMEOUT_US + len(self.parser.body) * 1_000_000 // BODY_PER_S
+            self.min_deadline,
+            self.head_received_at
+            + BODY_START_TIMEOUT_US
+            + len(self.parser.body) * 1_000_000 // MIN_BODY_BYTES_PER_S,
         )
 
-    def _quiet(self) -> None:
-        if self.idle and self.quiet:
+    def _on_idle_timeout(self) -> None:
+        if self.idle and self.input_empty:
             self.close()
 
-    def _slow(self) -> None:
-        """The rest of a request is too long in coming; what was read whole before it is still answered."""
+    def _on_request_timeout(self) -> None:
+        """The request was not complete in time. Complete requests before it are still answered."""
         if not self.parser.error:
             self.parser.error = LocalResponse(408, "request not finished in time")
             self.reader.kill(block=False)
-            self.http_server.unheard(self)
-            gevent.spawn(self.orders.put, self.parser.error)
+            self.http_server.mark_reader_paused(self)
+            gevent.spawn(self.requests.put, self.parser.error)
 
-    def _weigh(self) -> None:
-        """Brings the hall's sum of bytes in hand up to date. A request that no room is left for is turned away before
-        it is whole: it must not cost the others theirs."""
+    def _update_buffered_bytes(self) -> None:
+        """Updates the server's count of bytes held. A request that exceeds the memory limit is rejected before it is
+        complete, so that it does not displace the requests of others."""
         if self.closed:
             return
-        ahead = [self.item, *self.orders.queue, *self.parser.parsed]
-        weight = max(self.parser.bytes_read, self.parser.declared_length) * self.parser.in_request
-        weight += sum(len(r.body) for r in ahead if isinstance(r, ReceivedRequest)) + len(
+        requests = [self.current, *self.requests.queue, *self.parser.parsed]
+        buffered_bytes = max(self.parser.bytes_read, self.parser.declared_length) * self.parser.in_request
+        buffered_bytes += sum(len(r.body) for r in requests if isinstance(r, ReceivedRequest)) + len(
             self.read_ahead_buffer
         )
-        self.http_server.bytes_held += weight - self.weight
-        self.weight = weight
+        self.http_server.bytes_held += buffered_bytes - self.buffered_bytes
+        self.buffered_bytes = buffered_bytes
         self.http_server.memory_released.set()
         if (
             self.http_server.bytes_held > self.http_server.memory_limit
@@ -252,490 +269,531 @@
         ):
             log_event(
                 "memory",
-                f"no room for another request, of {max(self.parser.bytes_read, self.parser.declared_length)} bytes",
+                f"memory limit: rejected a request of {max(self.parser.bytes_read, self.parser.declared_length)} bytes",
                 "warning",
             )
             self.parser.reject(LocalResponse(503, "no room"))
-            self._weigh()
+            self._update_buffered_bytes()
 
-    def _find_room(self) -> None:
-        """Waits, before any more of a large body is read, until all of it has a place, in the order of asking; without
-        a length, until what has come has one. Some room is left for small requests. Who finds none in time is turned
-        away by `_weigh`."""
-        claim = self.parser.declared_length or (
+    def _wait_for_memory(self) -> None:
+        """Waits until there is memory for a whole large body before more of it is read, first come, first served. For a
+        body without a length, waits until there is memory for what was received. Part of the memory is reserved for
+        small requests. After a timeout `_update_buffered_bytes` rejects the request."""
+        required_bytes = self.parser.declared_length or (
             self.parser.bytes_read if self.parser.bytes_read > MAX_MESSAGE_BYTES else 0
         )
-        room = self.http_server.memory_limit - self.http_server.memory_limit // SMALL_PART
-        if claim <= self.weight or claim > room or self.http_server.bytes_held - self.weight + claim <= room:
+        limit = self.http_server.memory_limit - self.http_server.memory_limit // SMALL_REQUEST_MEMORY_DIVISOR
+        if (
+            required_bytes <= self.buffered_bytes
+            or required_bytes > limit
+            or self.http_server.bytes_held - self.buffered_bytes + required_bytes <= limit
+        ):
             return
-        self._expect()  # it is we who wait
-        self.http_server.in_line.append(self)
+        self._set_timeout()  # the delay is on this side
+        self.http_server.memory_waiters.append(self)
         try:
-            with self._deaf(), gevent.Timeout(ROOM_US / 1e6, False):  # type: ignore[arg-type]  # it ends without a word
+            with self._reader_paused(), gevent.Timeout(MEMORY_WAIT_TIMEOUT_US / 1e6, False):  # type: ignore[arg-type]  # False: raises nothing
                 while (
-                    self.http_server.in_line[0] is not self
-                    or self.http_server.bytes_held - self.weight + claim > room
+                    self.http_server.memory_waiters[0] is not self
+                    or self.http_server.bytes_held - self.buffered_bytes + required_bytes > limit
                 ):
                     self.http_server.memory_released.clear()
                     self.http_server.memory_released.wait()
         finally:
-            self.http_server.in_line.remove(self)
+            self.http_server.memory_waiters.remove(self)
             self.http_server.memory_released.set()
 
     # ------------------------------------------------------------ reading
 
-    def _read(self) -> None:
-        # No frame that rests between two requests may name one: each open connection would keep its last bodies.
+    def _read_loop(self) -> None:
+        # No local variable here may refer to a request: each idle connection would keep its last bodies alive.
         try:
-            while self._taken(self._next()):
+            while self._process_input(self._receive()):
                 pass
             if not self.closed:
-                self.http_server.unheard(self)
+                self.http_server.mark_reader_paused(self)
         except OSError:
             self.close()
-        except Exception as problem:
-            self._fault("reading an order failed", problem)
+        except Exception as error:
+            self._log_fault("reading a request failed", error)
             self.close()
 
-    def _taken(self, data: bytes) -> bool:
-        """Whether to read on after this piece."""
-        if not data or self.closed:  # another greenlet may have closed it, and this one not yet been ended
-            self.close()  # also when only its sending side is shut: a caller that closes has gone away
+    def _process_input(self, data: bytes) -> bool:
+        """Parses received bytes. Returns whether to read on."""
+        if not data or self.closed:  # another greenlet may have closed it and not killed this one yet
+            self.close()  # a shutdown of only the sending side counts as a disconnect, too
             return False
-        was = self.parser.in_request
+        was_in_request = self.parser.in_request
         self.parser.feed(data)
-        self._find_room()
+        self._wait_for_memory()
         if self.parser.bytes_read > MAX_MESSAGE_BYTES:
-            gevent.sleep(0)  # a caller who writes faster than we read must not keep the others waiting
+            gevent.sleep(0)  # a caller that sends faster than this reads must not block the others
         if self.closed:
             return False
-        self._weigh()
-        done = self.parser.parsed
-        if done or not self.parser.in_request:
-            self._expect()
+        self._update_buffered_bytes()
+        parsed = self.parser.parsed
+        if parsed or not self.parser.in_request:
+            self._set_timeout()
         if self.parser.in_request and not self.parser.error:
-            if done or not was:
-                first = self.fresh and not (done or self.owed)
-                self.headed = 0
-                self.least = self.since + FIRST_REQUEST_TIMEOUT_US if first else clock() + REQUEST_TIMEOUT_US
-            self._expect(self._due(), self._slow)
-        waits = len(done) > 1 or self.orders.full()  # the usual request finds its place, and costs no look
-        with self._deaf() if waits else nullcontext():
-            while done:
-                self.orders.put(
-                    done[0]
-                )  # waits while too many are ahead; until then its bytes are in hand here
-                del done[0]
+            if parsed or not was_in_request:
+                is_first = self.fresh and not (parsed or self.has_unanswered_request)
+                self.head_received_at = 0
+                self.min_deadline = (
+                    self.idle_since + FIRST_REQUEST_TIMEOUT_US if is_first else clock() + REQUEST_TIMEOUT_US
+                )
+            self._set_timeout(self._request_deadline(), self._on_request_timeout)
+        # The usual request finds the queue empty, which saves the disconnect check.
+        must_wait = len(parsed) > 1 or self.requests.full()
+        with self._reader_paused() if must_wait else nullcontext():
+            while parsed:
+                # Blocks while the queue is full. `parsed` keeps the item until then, so that its bytes stay counted.
+                self.requests.put(parsed[0])
+                del parsed[0]
         if self.parser.expects_continue and not self.parser.error:
             self.parser.expects_continue = False
-            if not self.owed:
+            if not self.has_unanswered_request:
                 self.sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
-        return not self.parser.error  # after one the server has the last word, and closes
+        return not self.parser.error  # after an error the handler responds and closes
 
     # ------------------------------------------------------------ serving
 
-    def _serve(self) -> None:
+    def _serve_loop(self) -> None:
         try:
-            while not self.closed and self._turn(self.orders.get()):
+            while not self.closed and self._serve_request(self.requests.get()):
                 pass
-            self._part()
+            self._linger()
         except OSError:
             pass
-        except Exception as problem:
-            self._fault("serving an order failed", problem)
+        except Exception as error:
+            self._log_fault("serving a request failed", error)
         finally:
             self.close()
 
-    def _fault(self, text: str, problem: Exception) -> None:
-        request = self.item.headers.get("x-request-id") if isinstance(self.item, ReceivedRequest) else ""
-        text = f"{text}: {type(problem).__name__}: {problem}"
-        log_event("fault", text, "error", request=request, where=error_location(problem))
+    def _log_fault(self, text: str, error: Exception) -> None:
+        request = (
+            self.current.headers.get("x-request-id") if isinstance(self.current, ReceivedRequest) else ""
+        )
+        text = f"{text}: {type(error).__name__}: {error}"
+        log_event("fault", text, "error", request=request, where=error_location(error))
 
-    def _turn(self, item: ReceivedRequest | LocalResponse) -> bool:
-        """Answers one; whether the connection goes on after it."""
-        if (
-            self.closed
-        ):  # in the moment in which this was handed over: the greenlet runs once more before it is ended
+    def _serve_request(self, item: ReceivedRequest | LocalResponse) -> bool:
+        """Serves one request. Returns whether the connection stays open."""
+        if self.closed:  # a killed greenlet may run once more if an item was passed to it at that moment
             return False
-        self.item = item
+        self.current = item
         if isinstance(item, LocalResponse):
-            log_event("callers", f"turned down: {item.status} {item.message}")
+            log_event("callers", f"request rejected: {item.status} {item.message}")
         self.serving = True
-        status, extra, body, kind, rest = self._reply(item)
-        ahead = self.parser.in_request or self.orders.qsize()  # taken, or about to be: owed an answer too
-        last = (
-            isinstance(item, LocalResponse) or not item.keep_alive or (self.http_server.parting and not ahead)
+        status, extra_headers, body, content_type, streamed_response = self._build_response(item)
+        # These are accepted, or about to be, and must be answered too.
+        more_requests = self.parser.in_request or self.requests.qsize()
+        closes_connection = (
+            isinstance(item, LocalResponse)
+            or not item.keep_alive
+            or (self.http_server.closing_connections and not more_requests)
         )
         chunked = (
             isinstance(item, ReceivedRequest)
             and item.accepts_chunked
-            and rest is not None
-            and rest.length is None
+            and streamed_response is not None
+            and streamed_response.length is None
         )
-        last = last or (
-            rest is not None and rest.length is None and not chunked
-        )  # it ends with its connection
-        framing = f"Content-Length: {rest.length if rest else len(body)}\r\n"
+        # Without a length and without chunks, closing the connection marks the end of the body.
+        closes_connection = closes_connection or (
+            streamed_response is not None and streamed_response.length is None and not chunked
+        )
+        framing = f"Content-Length: {streamed_response.length if streamed_response else len(body)}\r\n"
         framing = (
-            framing if not rest or rest.length is not None else "Transfer-Encoding: chunked\r\n" * chunked
+            framing
+            if not streamed_response or streamed_response.length is not None
+            else "Transfer-Encoding: chunked\r\n" * chunked
         )
-        head = f"HTTP/1.1 {status} {REASONS[status]}\r\n{framing}"
-        head += f"Content-Type: {kind}\r\n" if kind and body else ""
-        head += extra + ("Connection: close\r\n" if last else "") + "\r\n"
+        head = f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{framing}"
+        head += f"Content-Type: {content_type}\r\n" if content_type and body else ""
+        head += extra_headers + ("Connection: close\r\n" if closes_connection else "") + "\r\n"
         body = b"" if isinstance(item, ReceivedRequest) and item.method == "HEAD" else body
-        if rest is None:
+        if streamed_response is None:
             self._write(head.encode("latin-1") + body)
         else:
-            self._pass_on(head.encode("latin-1"), rest, chunked)
+            self._stream_response(head.encode("latin-1"), streamed_response, chunked)
         self.serving = self.fresh = False
-        self.item = None
-        self.since = clock()
-        self.http_server.rested(self)
-        self._weigh()
-        if not last and self.idle:
-            self._expect(self.since + KEEP_ALIVE_US, self._quiet)
-        return not last
-
-    def _pass_on(self, head: bytes, printed: NodeResponse, chunked: bool) -> None:
-        """A large answer, as it comes. Where it breaks off the connection ends at once: the caller must be able to
-        tell, and a second answer must never follow."""
-        rest, piece = printed.body_stream, printed.body
-        assert rest is not None
-        self.rest = rest
-        endless = printed.length is None and not chunked
+        self.current = None
+        self.idle_since = clock()
+        self.http_server.mark_idle(self)
+        self._update_buffered_bytes()
+        if not closes_connection and self.idle:
+            self._set_timeout(self.idle_since + KEEP_ALIVE_US, self._on_idle_timeout)
+        return not closes_connection
+
+    def _stream_response(self, head: bytes, node_response: NodeResponse, chunked: bool) -> None:
+        """Forwards a large response as it is received. If it is cut short, closes the connection at once, because the
+        caller must be able to detect this and must never get a second response."""
+        body_stream, chunk = node_response.body_stream, node_response.body
+        assert body_stream is not None
+        self.response_stream = body_stream
+        until_close = node_response.length is None and not chunked
         try:
-            while piece:
-                self._write(head + (b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece))
+            while chunk:
+                self._write(head + (b"%x\r\n%b\r\n" % (len(chunk), chunk) if chunked else chunk))
                 head = b""
-                if (piece := rest.read_chunk()) is None:  # type: ignore[assignment]
-                    if endless:
-                        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                    raise OSError("the answer broke off")
+                if (chunk := body_stream.read_chunk()) is None:  # type: ignore[assignment]
+                    if until_close:
+                        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                    raise OSError("response of the node was cut short")
             if chunked:
                 self._write(b"0\r\n\r\n")
         finally:
-            self.rest = None
-            rest.close()
+            self.response_stream = None
+            body_stream.close()
 
-    def _reply(
+    def _build_response(
         self, item: ReceivedRequest | LocalResponse
     ) -> tuple[int, str, bytes, str, NodeResponse | None]:
-        """Status, further header lines, body and its type; and the answer itself where it is passed on as it comes."""
+        """Status, additional header lines, body, content type, and the node's response if it is to be streamed."""
         try:
             if isinstance(item, ReceivedRequest):
                 if item.target.partition("?")[0] == "/ready":
                     item = self.http_server.ready(item)
                 else:
-                    checked = validate_request(item, self.http_server.config)
-                    answer = checked if isinstance(checked, LocalResponse) else self._job(item, *checked)
+                    validated = validate_request(item, self.http_server.config)
+                    answer = (
+                        validated if isinstance(validated, LocalResponse) else self._run_job(item, *validated)
+                    )
                     if isinstance(answer, Answer):
                         return self._format_answer(answer)
                     item = answer
-            extra = "Allow: GET, POST\r\n" if item.status == 405 else ""
-            return item.status, extra, item.message.encode() + b"\n", "text/plain", None
-        except Exception as problem:  # a caller is owed an answer, and no traceback
-            self._fault("an order failed", problem)
+            extra_headers = "Allow: GET, POST\r\n" if item.status == 405 else ""
+            return item.status, extra_headers, item.message.encode() + b"\n", "text/plain", None
+        except Exception as error:  # the caller must get a response, and no traceback
+            self._log_fault("handling a request failed", error)
             if self.job:
                 self.http_server.dispatcher.caller_disconnected(self.job)
                 self.job = None
             return 500, "", b"failed\n", "text/plain", None
 
-    def _job(self, request: ReceivedRequest, cls: int, account: int, deadline: int) -> Answer | LocalResponse:
+    def _run_job(
+        self, request: ReceivedRequest, cls: int, tenant: int, deadline: int
+    ) -> Answer | LocalResponse:
         headers = request.headers
-        passed = tuple((name.title(), headers[name]) for name in PASSED_ON if name in headers)
-        order = NodeRequest(request.method, request.target, passed, request.body)
-        repeat = headers.get("x-retried") == "1"
-        promise = intent_register_key(request, self.http_server.config)
-        if isinstance(promise, LocalResponse):
-            return promise
+        forwarded_headers = tuple(
+            (name.title(), headers[name]) for name in FORWARDED_HEADERS if name in headers
+        )
+        node_request = NodeRequest(request.method, request.target, forwarded_headers, request.body)
+        is_retry = headers.get("x-retried") == "1"
+        register_key = intent_register_key(request, self.http_server.config)
+        if isinstance(register_key, LocalResponse):
+            return register_key
         self.result = AsyncResult()
         deadline -= self.http_server.stall_detector.max_unread_us(request.received_us)
         if self.http_server.shutdown:
             deadline = self.http_server.shutdown.clamp_deadline(deadline)
-        key = request_fingerprint(request, cls, account)
+        fingerprint = request_fingerprint(request, cls, tenant)
         job = Job(
-            headers["x-request-id"], cls, account, deadline - DELIVERY_MARGIN_US, order, self, repeat, key
+            headers["x-request-id"],
+            cls,
+            tenant,
+            deadline - DELIVERY_MARGIN_US,
+            node_request,
+            self,
+            is_retry,
+            fingerprint,
         )
-        job.intent_register = promise
-        self.job = job  # before the desk, which may answer it at once
+        job.intent_register = register_key
+        self.job = job  # before submit(), which may answer it at once
         if not self.http_server.dispatcher.submit(job):
             self.job = None
             return LocalResponse(409, "this X-Request-ID is still in hand", closes_connection=False)
         answer = self.result.get()
         self.job = None
-        self.result = AsyncResult()  # the old one holds the answer
-        assert answer is not None  # it waits without a limit; the desk sets one at every job's deadline
+        self.result = AsyncResult()  # the old one keeps the answer alive
+        assert answer is not None  # waits without a timeout; the dispatcher answers every job by its deadline
         return answer
 
     def _format_answer(self, answer: Answer) -> tuple[int, str, bytes, str, NodeResponse | None]:
-        verdict = answer.status
-        if verdict is AnswerStatus.SERVED and not isinstance(answer.response, NodeResponse):
-            verdict = AnswerStatus.FAILED  # a floor that hands on something else
-        if verdict is AnswerStatus.SERVED:
-            printed = answer.response
-            return 200, "", printed.body, printed.content_type, printed if printed.body_stream else None
-        wait = retry_after_value(answer)
+        status = answer.status
+        if status is AnswerStatus.SERVED and not isinstance(answer.response, NodeResponse):
+            status = AnswerStatus.FAILED  # from a transport that returns another type
+        if status is AnswerStatus.SERVED:
+            node_response = answer.response
+            return (
+                200,
+                "",
+                node_response.body,
+                node_response.content_type,
+                node_response if node_response.body_stream else None,
+            )
+        retry_after = retry_after_value(answer)
         return (
-            STATUS_CODES[verdict],
-            f"Retry-After: {wait}\r\n" if wait else "",
+            STATUS_CODES[status],
+            f"Retry-After: {retry_after}\r\n" if retry_after else "",
             error_body(answer),
             "text/plain",
             None,
         )
 
     def _write(self, data: bytes) -> None:
-        """The whole answer; a caller that does not take it in time loses its connection."""
-        late = Timer(clock() + RESPONSE_WRITE_TIMEOUT_US, self.close)
+        """Sends all data. The connection of a caller that does not receive it in time is closed."""
+        timer = Timer(clock() + RESPONSE_WRITE_TIMEOUT_US, self.close)
         try:
             self.sock.sendall(data)
         finally:
-            late.cancel()
+            timer.cancel()
 
-    def _part(self) -> None:
-        """Ends the connection so that the last answer arrives: closing while unread bytes are left would reset it. What
-        still comes is dropped unread by the kernel (MSG_TRUNC), at a pace that leaves the others their turn."""
+    def _linger(self) -> None:
+        """Closes the connection so that the last response arrives; a close with unread bytes would reset it. The kernel
+        discards what is still received (MSG_TRUNC). The pauses between the reads leave time for other callers."""
         if self.closed:
             return
         self.reader.kill()
-        self.http_server.deaf.discard(self)
-        self._expect(clock() + LINGER_US, self.close)
+        self.http_server.paused_readers.discard(self)
+        self._set_timeout(clock() + LINGER_TIMEOUT_US, self.close)
         self.sock.shutdown(socket.SHUT_WR)
-        while self.sock.recv_into(self.http_server.bin, len(self.http_server.bin), socket.MSG_TRUNC):
-            gevent.sleep(PACE_S)
+        while self.sock.recv_into(
+            self.http_server.discard_buffer, len(self.http_server.discard_buffer), socket.MSG_TRUNC
+        ):
+            gevent.sleep(DISCARD_INTERVAL_S)
 
 
 class HttpServer:
-    """The listener and all screens."""
-
-    def __init__(self, plant: ProxyConfig, desk: DispatcherDriver, most: int, room: int) -> None:
-        self.config = plant
-        self.dispatcher = desk
-        self.max_connections = most
-        self.memory_limit = room  # bytes of requests in hand
+    """The listener and all callers' connections."""
+
+    def __init__(
+        self, config: ProxyConfig, dispatcher: DispatcherDriver, max_connections: int, memory_limit: int
+    ) -> None:
+        self.config = config
+        self.dispatcher = dispatcher
+        self.max_connections = max_connections
+        self.memory_limit = memory_limit  # in bytes, of all requests held
         self.bytes_held = 0
-        self.bytes_read_ahead = 0  # of these, bytes that nobody has read yet
-        self.memory_released = Bell()  # some of it
-        self.in_line: deque[CallerConnection] = deque()  # who waits for room, in turn
-        self.deaf: set[CallerConnection] = set()  # whose reader stands still
-        self.some_deaf = Bell()
-        self.bin = bytearray(256 * 1024)
+        self.bytes_read_ahead = 0  # of these, read ahead and not parsed yet
+        self.memory_released = Event()
+        self.memory_waiters: deque[CallerConnection] = deque()  # connections that wait for memory, in order
+        self.paused_readers: set[CallerConnection] = set()  # connections whose reader is paused
+        self.reader_paused = Event()
+        self.discard_buffer = bytearray(256 * 1024)
         self.shutdown: ShutdownSchedule | None = None
         self.drain = Drain()
-        self.taken_over = Drain(HANDOVER_IDLE_GRACE_US)  # another process has the door
-        self.pace = AcceptLimiter(AcceptLimiterConfig())
+        self.handover = Drain(HANDOVER_IDLE_GRACE_US)  # another process accepts connections
+        self.accept_limiter = AcceptLimiter(AcceptLimiterConfig())
         self.stall_detector = StallDetector(PROCESS_STARTED_US)
         self.started = False
-        self.connections: OrderedDict[CallerConnection, None] = (
-            OrderedDict()
-        )  # the one that rested longest first
+        self.connections: OrderedDict[CallerConnection, None] = OrderedDict()  # least recently used first
 
     def start(self, listener: Any = None) -> None:
-        """`listener`: another process's, which has the same queue."""
+        """`listener`: inherited from another process, with the same accept queue."""
         self.listener = listener or self.bind(self.config.listen)
         if listener:
-            self.stall_detector = StallDetector(clock())  # until now the other process took what came
-        self.stall_detector.heartbeat(
-            clock()
-        )  # the start is over: what waited for it is read within the next moments
+            self.stall_detector = StallDetector(clock())  # until now the other process accepted connections
+        # The start-up counts as a stall. Requests that arrived during it are read within the next moments.
+        self.stall_detector.heartbeat(clock())
         self.started = True
-        self.heart = gevent.spawn(self._beat)
-        self.ear = gevent.spawn(self._listen)
-        self.acceptor = gevent.spawn(self._accept)
+        self.heartbeat_greenlet = gevent.spawn(self._heartbeat_loop)
+        self.disconnect_greenlet = gevent.spawn(self._disconnect_loop)
+        self.acceptor = gevent.spawn(self._accept_loop)
 
-    def unheard(self, screen: CallerConnection) -> None:
-        """From now on its reader stands still."""
-        self.deaf.add(screen)
-        self.some_deaf.set()
+    def mark_reader_paused(self, connection: CallerConnection) -> None:
+        """Includes a connection whose reader stops reading in the disconnect checks."""
+        self.paused_readers.add(connection)
+        self.reader_paused.set()
 
-    def _listen(self) -> None:
-        """Lets callers go whom no reader hears: what they wait for must not be begun any more."""
+    def _disconnect_loop(self) -> None:
+        """Closes connections with a paused reader whose caller disconnected, so that no attempt begins for them."""
         while True:
-            self.some_deaf.wait()
-            gevent.sleep(GONE_S)
-            for screen in list(self.deaf):
-                self._hear(screen)
-            if not self.deaf:
-                self.some_deaf.clear()
+            self.reader_paused.wait()
+            gevent.sleep(DISCONNECT_CHECK_INTERVAL_S)
+            for connection in list(self.paused_readers):
+                self._check_disconnected(connection)
+            if not self.paused_readers:
+                self.reader_paused.clear()
 
     @staticmethod
-    def _hear(screen: CallerConnection) -> None:
+    def _check_disconnected(connection: CallerConnection) -> None:
         try:
-            screen.read_ahead()
-            if screen.gone:
-                screen.close()
+            connection.read_ahead()
+            if connection.disconnected:
+                connection.close()
         except OSError:  # reset
-            screen.close()
+            connection.close()
 
-    def _beat(self) -> None:
+    def _heartbeat_loop(self) -> None:
         while True:
             gevent.sleep(HEARTBEAT_INTERVAL_US / 1e6)
             self.stall_detector.heartbeat(clock())
 
-    def bind(self, place: Address) -> Any:
-        return listen(place, shared=self.config.mgmt is not None)
-
-    def apply_settings(self, plant: ProxyConfig, most: int, room: int, listener: Any) -> None:
-        """New settings; screens stay, and what they take in from now on is checked by these. A listener, where there
-        is one, takes the place of the old, whose queue is emptied first."""
-        self.config = plant
-        self.max_connections = most
-        self.memory_limit = room
+    def bind(self, address: Address) -> Any:
+        return listen(address, shared=self.config.mgmt is not None)
+
+    def apply_settings(
+        self, config: ProxyConfig, max_connections: int, memory_limit: int, listener: Any
+    ) -> None:
+        """Applies new settings. Connections stay open, and later requests are validated against the new settings. A new
+        listener replaces the old one, whose accept queue is emptied first."""
+        self.config = config
+        self.max_connections = max_connections
+        self.memory_limit = memory_limit
         if listener:
             self.acceptor.kill()
-            if not self.taken_over.active:
+            if not self.handover.active:
                 self._accept_backlog()
             self.listener.close()
             self.listener = listener
-            self.acceptor = gevent.spawn(self._accept)
+            self.acceptor = gevent.spawn(self._accept_loop)
 
     def ready(self, request: ReceivedRequest) -> LocalResponse:
         if request.method not in ("GET", "HEAD"):
             return LocalResponse(405, "this path takes GET", closes_connection=False)
         if self.drain.active:
             return LocalResponse(503, "drained", closes_connection=False)
-        up = self.started and (not self.shutdown or self.taken_over.active)
+        is_ready = self.started and (not self.shutdown or self.handover.active)
         return (
             LocalResponse(200, "ready", closes_connection=False)
-            if up
+            if is_ready
             else LocalResponse(503, "stopping", closes_connection=False)
         )
 
     @property
     def serving(self) -> bool:
-        """Whether this process takes what comes; a drain does not change that."""
+        """Whether this process accepts connections, also during a drain."""
         return self.started and self.listener.fileno() >= 0
 
     def start_drain(self) -> None:
-        """An operator drains: what comes is still taken and answered, but nobody is asked to stay."""
+        """Starts an operator's drain: requests are still answered, but connections are no longer kept alive."""
         if not self.drain.active:
             self.drain.start(clock())
-            gevent.spawn(self._let_go, self.drain)
+            gevent.spawn(self._close_idle_while_draining, self.drain)
 
     def end_drain(self) -> None:
         self.drain.cancel()
 
     def suspend(self) -> None:
-        """Another process has the door; the listener is shared with it, and nothing in its queue is lost."""
-        if not self.taken_over.active:
+        """Stops accepting because another process has taken over. Connections in the shared accept queue are kept."""
+        if not self.handover.active:
             self.acceptor.kill()
-            self.taken_over.start(clock())
-            gevent.spawn(self._let_go, self.taken_over)
+            self.handover.start(clock())
+            gevent.spawn(self._close_idle_while_draining, self.handover)
 
     def resume(self) -> None:
-        """That process has gone."""
-        self.taken_over.cancel()
+        """Accepts connections again after that process has ended."""
+        self.handover.cancel()
         if not self.shutdown:
-            self.acceptor = gevent.spawn(self._accept)
+            self.acceptor = gevent.spawn(self._accept_loop)
 
-    def _let_go(self, drain: Drain) -> None:
-        told = drain.started_at
-        while drain.started_at == told:
+    def _close_idle_while_draining(self, drain: Drain) -> None:
+        started_at = drain.started_at
+        while drain.started_at == started_at:
             now = clock()
-            for screen in list(self.connections):
-                if screen.idle and drain.should_close_idle(now, screen.since, screen.fresh) and screen.quiet:
-                    screen.close()
+            for connection in list(self.connections):
+                if (
+                    connection.idle
+                    and drain.should_close_idle(now, connection.idle_since, connection.fresh)
+                    and connection.input_empty
+                ):
+                    connection.close()
             gevent.sleep(0.02)
 
-    def rested(self, screen: CallerConnection) -> None:
-        if screen in self.connections:
-            self.connections.move_to_end(screen)
+    def mark_idle(self, connection: CallerConnection) -> None:
+        if connection in self.connections:
+            self.connections.move_to_end(connection)
 
-    def remove(self, screen: CallerConnection) -> None:
-        self.connections.pop(screen, None)
-        self.deaf.discard(screen)
+    def remove(self, connection: CallerConnection) -> None:
+        self.connections.pop(connection, None)
+        self.paused_readers.discard(connection)
 
-    def _let_in(self, sock: Any) -> None:
+    def _add_connection(self, sock: Any) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.connections[CallerConnection(self, sock)] = None
         self.dispatcher.connection_opened()
 
-    def _accept(self) -> None:
+    def _accept_loop(self) -> None:
         while True:
             try:
-                # Only now, with somebody at the door, is anyone asked to leave; and who has been let in has a screen at
-                # once, as it may have sent a whole request already.
+                # A connection is evicted only when a new one is waiting. An accepted socket gets its CallerConnection
+                # at once, because a complete request may already have arrived on it.
                 socket.wait_read(self.listener.fileno())
-                self._hold_back()
+                self._wait_for_accept_limiter()
                 while len(self.connections) >= self.max_connections and not self._evict_connection():
-                    gevent.sleep(0.02)  # all are at work; who comes next waits in the kernel's queue
-                self._let_in(self.listener.accept()[0])
-            except OSError as problem:
+                    gevent.sleep(0.02)  # all are busy; new connections wait in the accept queue
+                self._add_connection(self.listener.accept()[0])
+            except OSError as error:
                 if self.listener.fileno() < 0:
                     return
-                if problem.errno in RESOURCE_EXHAUSTED_ERRNOS:
-                    # accept fails at once and again while no descriptor is free: it must not spin.
-                    log_event("sockets", f"cannot accept: {problem}", "error")
+                if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
+                    # accept() fails at once, again and again, while no descriptor is free; do not spin.
+                    log_event("sockets", f"cannot accept a connection: {error}", "error")
                     self._evict_connection()
                     gevent.sleep(0.05)
                 continue
-            gevent.sleep(0)  # a crowd at the door must not keep those inside from being read
+            gevent.sleep(0)  # many new connections must not delay the open ones
 
-    def _hold_back(self) -> None:
-        """A crowd at the door waits in the kernel's queue, so that those inside are answered."""
-        while self.config.operator.storms.pace and not self.pace.acquire(
+    def _wait_for_accept_limiter(self) -> None:
+        """Leaves new connections in the accept queue while there are too many, so that open ones are served."""
+        while self.config.operator.storms.pace and not self.accept_limiter.acquire(
             clock(), len(self.dispatcher.job_table.by_request_id)
         ):
-            due = self.pace.due()
+            due = self.accept_limiter.due()
             gevent.sleep(max(0, due - clock()) / 1e6 if due else 0)
 
     def _evict_connection(self) -> bool:
-        """Closes a screen that nobody waits for: one that connected a while ago and said nothing; else the one that
-        has rested longest between requests; else a new one; else one whose request is not whole, and so not taken
-        yet. Callers that say nothing, or only a few bytes, must not keep the others out, nor take their connections
-        from them."""
-        old = clock() - MIN_EVICTION_AGE_US
-        idle = [s for s in self.connections if s.idle]
-        ranks = (
-            (s for s in idle if s.fresh and s.since < old),
-            (s for s in idle if not s.fresh),
-            iter(idle),
+        """Closes one dispensable connection and returns whether there was one. In this order: one that has been open
+        for a while without a request, the least recently used idle one, a new one, and one whose request is incomplete
+        and so not accepted yet. Callers that send nothing or only a few bytes must neither keep others out nor cost
+        them their connections."""
+        cutoff = clock() - MIN_EVICTION_AGE_US
+        idle_connections = [s for s in self.connections if s.idle]
+        candidates = (
+            (s for s in idle_connections if s.fresh and s.idle_since < cutoff),
+            (s for s in idle_connections if not s.fresh),
+            iter(idle_connections),
+        )
+        victim = next((s for group in candidates for s in group if s.input_empty), None)
+        victim = victim or next(
+            (s for s in self.connections if not (s.idle or s.has_unanswered_request)), None
         )
-        spare = next((s for rank in ranks for s in rank if s.quiet), None)
-        spare = spare or next((s for s in self.connections if not (s.idle or s.owed)), None)
-        if spare:
-            spare.close()
-        return spare is not None
+        if victim:
+            victim.close()
+        return victim is not None
 
     @property
-    def parting(self) -> bool:
+    def closing_connections(self) -> bool:
         return (
             self.drain.active
-            or self.taken_over.active
+            or self.handover.active
             or (self.shutdown is not None and self.shutdown.disconnecting(clock()))
         )
 
     def stop(self) -> None:
-        """A planned end: goes on serving whoever comes for as long as it does them good, then closes who is idle, and
-        returns when every job in hand has been answered."""
+        """Planned stop: keeps serving as long as the shutdown schedule allows, then closes idle connections. Returns
+        when every accepted job is answered."""
         self.shutdown = self.dispatcher.stop()
-        while self.connections or not (self.shutdown.finished(clock()) or self.taken_over.active):
+        while self.connections or not (self.shutdown.finished(clock()) or self.handover.active):
             now = clock()
             if self.shutdown.disconnecting(now):
                 self._close_idle(now, self.shutdown.finished(now))
-                self._shut()
+                self._close_listener()
             gevent.sleep(0.02)
-        self._shut()
-
-    def _close_idle(self, now: int, over: bool) -> None:
-        """Closes who rests, at a planned stop. What has come and was not read yet is read first, and answered: a close
-        over it would reset the connection, and the last answer with it. `over`: nothing more is answered."""
-        for screen in list(self.connections):
-            old = not screen.fresh or now - screen.since > NEWCOMER_US
-            if screen.idle and old and (over or screen.quiet):
-                screen.close()
-
-    def _shut(self) -> None:
+        self._close_listener()
+
+    def _close_idle(self, now: int, finished: bool) -> None:
+        """Closes idle connections at a planned stop. Unless `finished` (no more answers are given), one with unread
+        bytes stays open until these are read and answered, because a close would reset it and could lose the last
+        response."""
+        for connection in list(self.connections):
+            may_close = not connection.fresh or now - connection.idle_since > NEW_CONNECTION_GRACE_US
+            if connection.idle and may_close and (finished or connection.input_empty):
+                connection.close()
+
+    def _close_listener(self) -> None:
         if self.listener.fileno() >= 0:
             self.acceptor.kill()
-            if not self.taken_over.active:
+            if not self.handover.active:
                 self._accept_backlog()
             self.listener.close()
 
     def _accept_backlog(self) -> None:
-        """Takes in who is still in the kernel's queue: closing the listener would reset them unheard."""
+        """Accepts what is left in the accept queue; closing the listener would reset these connections."""
         self.listener.setblocking(False)
         try:
             while len(self.connections) < self.max_connections:
-                self._let_in(self.listener.accept()[0])
+                self._add_connection(self.listener.accept()[0])
         except OSError:
             pass
--- a/slatehub/fronts/listener.py
+++ b/slatehub/fronts/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket, for every front. It must never accept on it."""
+"""Creates the listening socket of a front. Accepting connections is the front's job."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 from ..settings.reader import Address
 
-BACKLOG = 1024
+BACKLOG = 1024  # connections
 
 
 def listen(address: Address, shared: bool = False) -> Any:
-    """Bound and listening. `shared`: a second process may listen there too. OSError where it cannot be had."""
+    """Returns a bound, listening socket. `shared`: other processes may listen on the same address (SO_REUSEPORT).
+    Raises OSError if the address cannot be bound."""
     host, port = address
     listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -48,10 +48,10 @@
     rest()
     hall.connections[screen] = None
     caller.sendall(READY)  # and the screen has not run since
-    hall._close_idle(clock(), over=False)
+    hall._close_idle(clock(), finished=False)
     assert not screen.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall._close_idle(clock(), over=False)
+    hall._close_idle(clock(), finished=False)
     assert screen.closed and caller.recv(10) == b""  # a clean end, no reset
     caller.close()
 
@@ -63,7 +63,7 @@
     rest()
     hall.connections[screen] = None
     caller.sendall(READY)
-    hall._close_idle(clock(), over=True)
+    hall._close_idle(clock(), finished=True)
     assert screen.closed
     caller.close()
 
