--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""What all tests share: where the code is found, the list of tests that may fail (known_red.py), and that no test
-leaves anything behind that would keep the run from ending."""
+"""Shared by all tests: the import path, the list of tests that are expected to fail (known_red.py), and a check that no
+test leaves threads behind that would keep the run from ending."""
 
 import sys
 import threading
@@ -16,21 +16,21 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def private_tmpdir(tmp_path_factory: pytest.TempPathFactory) -> Iterator[None]:
-    """Guards against programs of another run beside this one, which bear the same names: one that has an operators'
-    address looks in $TMPDIR for a process to take over from."""
+    """Separates this run from other runs on the same machine, whose proxies have the same names: a proxy with a
+    management address looks in $TMPDIR for a process to take over from."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setenv("TMPDIR", str(tmp_path_factory.getbasetemp()))
         yield
 
 
 @pytest.fixture(autouse=True)
-def nobody_stays() -> Iterator[None]:
-    """Guards against a run that is over and never ends: the interpreter waits for threads that are no daemons, and a
-    test that fails may have left some that ask without end."""
+def no_leftover_threads() -> Iterator[None]:
+    """Guards against a test run that never ends: the interpreter waits for non-daemon threads, and a failed test may
+    have left some that send requests forever."""
     before = set(threading.enumerate())
     yield
-    left = [x for x in threading.enumerate() if x not in before and not x.daemon]
-    assert not left, f"still at work after the test: {left}"
+    leftover = [x for x in threading.enumerate() if x not in before and not x.daemon]
+    assert not leftover, f"still at work after the test: {leftover}"
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
