--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Signals, and bytes that arrive in the moment in which something is shut: each bad order is made to happen."""
+"""Signals, and bytes that arrive just as a connection is closed. Each test forces one bad interleaving."""
 
 from __future__ import annotations
 
@@ -41,77 +41,83 @@
 # ---------------------------------------------------------------- connections
 
 
-def test_a_request_that_has_come_unread_when_the_resting_are_closed_is_answered() -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, READY)
+def test_an_unread_request_is_answered_when_idle_connections_are_closed() -> None:
+    http_server = hall_for(Stand())
+    caller, connection = screen_for(http_server, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall.connections[screen] = None
-    caller.sendall(READY)  # and the screen has not run since
-    hall._close_idle(clock(), finished=False)
-    assert not screen.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
+    http_server.connections[connection] = None
+    caller.sendall(READY)  # the reader has not run since
+    http_server._close_idle(clock(), finished=False)
+    assert not connection.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall._close_idle(clock(), finished=False)
-    assert screen.closed and caller.recv(10) == b""  # a clean end, no reset
+    http_server._close_idle(clock(), finished=False)
+    assert connection.closed and caller.recv(10) == b""  # closed by FIN, no reset
     caller.close()
 
 
-def test_who_goes_on_sending_is_closed_once_nothing_more_is_answered() -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, READY)
+def test_a_caller_that_keeps_sending_is_closed_once_no_more_answers_are_given() -> None:
+    http_server = hall_for(Stand())
+    caller, connection = screen_for(http_server, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
     rest()
-    hall.connections[screen] = None
+    http_server.connections[connection] = None
     caller.sendall(READY)
-    hall._close_idle(clock(), finished=True)
-    assert screen.closed
+    http_server._close_idle(clock(), finished=True)
+    assert connection.closed
     caller.close()
 
 
-def test_who_is_let_in_at_the_last_call_is_written_to_without_delay() -> None:
-    """Small writes that the system holds back go with a reset."""
-    hall, place = hall_for(Stand()), listen()
-    hall.start(place)
-    hall.acceptor.kill()
-    callers = [gsocket.create_connection(place.getsockname()) for _ in range(3)]
-    hall._accept_backlog()
-    assert len(hall.connections) == 3
-    for screen in hall.connections:
-        assert screen.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+def test_connections_accepted_from_the_backlog_at_shutdown_have_tcp_nodelay() -> None:
+    """Small writes that the kernel delays are lost when the connection is reset."""
+    http_server, listener = hall_for(Stand()), listen()
+    http_server.start(listener)
+    http_server.acceptor.kill()
+    callers = [gsocket.create_connection(listener.getsockname()) for _ in range(3)]
+    http_server._accept_backlog()
+    assert len(http_server.connections) == 3
+    for connection in http_server.connections:
+        assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     for caller in callers:
         caller.close()
-    place.close()
+    listener.close()
 
 
-@pytest.mark.parametrize("bound", ["of all", "of one"])
-def test_what_is_taken_ahead_has_a_bound_and_is_given_back(
+@pytest.mark.parametrize("bound", ["all connections", "one connection"])
+def test_read_ahead_is_bounded_and_its_memory_is_released(
     bound: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, b"")
+    http_server = hall_for(Stand())
+    caller, connection = screen_for(http_server, b"")
     rest()
-    hall.memory_limit = 160_000 if bound == "of all" else 10_000_000
-    if bound == "of one":
+    http_server.memory_limit = 160_000 if bound == "all connections" else 10_000_000
+    if bound == "one connection":
         monkeypatch.setattr(server, "MAX_READ_AHEAD_BYTES", 40_000)
-    most = 40_000 + server.READ_CHUNK_BYTES
-    screen.job = SimpleNamespace(responder=screen)  # type: ignore[assignment]
+    limit = 40_000 + server.READ_CHUNK_BYTES
+    connection.job = SimpleNamespace(responder=connection)  # type: ignore[assignment]
     caller.setblocking(False)
     try:
         while True:
             caller.send(bytes(10_000))
     except OSError:
         pass
-    screen.read_ahead()
-    screen.read_ahead()
-    assert 40_000 <= len(screen.read_ahead_buffer) == hall.bytes_read_ahead == hall.bytes_held < most
-    screen.job = None
-    screen.close()
-    assert hall.bytes_read_ahead == hall.bytes_held == 0
+    connection.read_ahead()
+    connection.read_ahead()
+    assert (
+        40_000
+        <= len(connection.read_ahead_buffer)
+        == http_server.bytes_read_ahead
+        == http_server.bytes_held
+        < limit
+    )
+    connection.job = None
+    connection.close()
+    assert http_server.bytes_read_ahead == http_server.bytes_held == 0
     caller.close()
 
 
-class Breaks(ScriptedNode):
-    """Begins a large answer without a length, and resets it."""
+class ResettingNode(ScriptedNode):
+    """Begins a large response without a length and resets the connection."""
 
     def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         if "/endless-reset" not in head.split("\r\n")[0]:
@@ -125,21 +131,21 @@
 
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
 def test_an_answer_without_a_length_that_is_reset_never_ends_cleanly(tmp_path: Path, version: str) -> None:
-    with running_proxy(tmp_path, kind=Breaks) as p, p.program.connect() as conn:
+    with running_proxy(tmp_path, kind=ResettingNode) as p, p.program.connect() as conn:
         conn.sendall(
             build_request("endless-reset", SAFE_CLASS).replace(b"HTTP/1.1", f"HTTP/{version}".encode())
         )
-        got = conn.recv(65536)
-        assert got.startswith(b"HTTP/1.1 200 ") and p.nodes[0].held.acquire(timeout=20)
+        received = conn.recv(65536)
+        assert received.startswith(b"HTTP/1.1 200 ") and p.nodes[0].held.acquire(timeout=20)
         p.nodes[0].release.set()
         ended = "cleanly"
         try:
-            while piece := conn.recv(65536):
-                got += piece
+            while chunk := conn.recv(65536):
+                received += chunk
         except ConnectionResetError:
             ended = "by reset"
-        # Over HTTP/1.1 the framing tells: no last chunk has come.
-        assert ended == "by reset" if version == "1.0" else not got.endswith(b"0\r\n\r\n")
+        # Over HTTP/1.1 the framing shows it: the last chunk is missing.
+        assert ended == "by reset" if version == "1.0" else not received.endswith(b"0\r\n\r\n")
 
 
 # ---------------------------------------------------------------- signals
@@ -153,51 +159,49 @@
     ):
         port = spare.getsockname()[1]
         spare.close()
-        held = pool.submit(p.program.request, build_request("wait"))
+        waiting = pool.submit(p.program.request, build_request("wait"))
         assert p.nodes[0].held.acquire(timeout=20)
         process = p.program.process
         process.send_signal(signal.SIGTERM)
         wait_until(lambda: any("finishing 1 jobs" in line for line in list(p.program.log)))
-        tree = json.loads((tmp_path / "config.json").read_text())
-        (tmp_path / "config.json").write_text(json.dumps({**tree, "listen": f"127.0.0.1:{port}"}))
+        config = json.loads((tmp_path / "config.json").read_text())
+        (tmp_path / "config.json").write_text(json.dumps({**config, "listen": f"127.0.0.1:{port}"}))
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR2, signal.SIGTERM):
             process.send_signal(number)
-        assert p.program.request(build_request("ok"))[0] in (
-            200,
-            503,
-        )  # still there, at the address where it was
+        # The process still runs and listens at the same address.
+        assert p.program.request(build_request("ok"))[0] in (200, 503)
         p.nodes[0].release.set()
-        assert held.result(20)[0] == 200
+        assert waiting.result(20)[0] == 200
         assert process.wait(20) == 0
         assert not any("read again" in line for line in p.program.log)
 
 
-def test_a_stop_waits_for_a_renewal_that_has_begun_and_none_begins_after_it() -> None:
+def test_a_stop_waits_for_a_reload_in_progress_and_none_begins_after_it() -> None:
     parts: Any = [SimpleNamespace() for _ in range(7)]
-    renewal, began, goes_on = SettingsReloader(None, *parts), [], gevent.event.Event()
+    reloader, steps, may_continue = SettingsReloader(None, *parts), [], gevent.event.Event()
 
-    def renew() -> None:
-        began.append("begun")
-        goes_on.wait()
-        began.append("through")
+    def reload() -> None:
+        steps.append("begun")
+        may_continue.wait()
+        steps.append("through")
 
-    renewal._reload = renew  # type: ignore[method-assign]
-    gevent.spawn(renewal)
+    reloader._reload = reload  # type: ignore[method-assign]
+    gevent.spawn(reloader)
     gevent.sleep(0)
-    stop = gevent.spawn(renewal.close)
+    stop = gevent.spawn(reloader.close)
     gevent.sleep(0)
-    assert began == ["begun"] and not stop.ready()
-    goes_on.set()
+    assert steps == ["begun"] and not stop.ready()
+    may_continue.set()
     stop.join(5)
-    assert began == ["begun", "through"]
-    late = gevent.spawn(renewal)
+    assert steps == ["begun", "through"]
+    late_reload = gevent.spawn(reloader)
     rest()
-    assert began == ["begun", "through"] and not late.ready()
-    late.kill()
+    assert steps == ["begun", "through"] and not late_reload.ready()
+    late_reload.kill()
 
 
-# In the place of a library that the program loads: says that loading has begun, and goes on when it is let.
-HELD_UP = """
+# Replaces a library that the program loads: creates one file when loading begins and waits for another.
+DELAYED_LIBRARY = """
 import importlib, os, sys, time
 open({began!r}, "w").close()
 while not os.path.exists({go!r}):
@@ -212,29 +216,31 @@
     ("number", "code"), [(signal.SIGHUP, None), (signal.SIGUSR2, None), (signal.SIGTERM, -15)]
 )
 def test_a_signal_while_the_program_loads(tmp_path: Path, number: signal.Signals, code: int | None) -> None:
-    """SIGHUP and SIGUSR2 do not end it, and it goes by the settings as they are then; SIGTERM may: nothing has been
-    taken yet."""
-    lib, began, go = tmp_path / "lib", tmp_path / "began", tmp_path / "go"
-    lib.mkdir()
-    (lib / "click.py").write_text(HELD_UP.format(began=str(began), go=str(go), here=str(lib)))
+    """SIGHUP and SIGUSR2 do not end the program, which starts with the current settings. SIGTERM may end it, as no
+    request has been accepted yet."""
+    library, began, may_continue = tmp_path / "lib", tmp_path / "began", tmp_path / "go"
+    library.mkdir()
+    (library / "click.py").write_text(
+        DELAYED_LIBRARY.format(began=str(began), go=str(may_continue), here=str(library))
+    )
     node = ScriptedNode()
-    tree = {
+    config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings(),
         "known": {"revision": 0, "complete": True, "members": [node_entry("s-0", node.address)]},
     }  # fmt: skip
-    (tmp_path / "config.json").write_text(json.dumps(tree))
-    env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), "PYTHONPATH": str(lib)}
+    (tmp_path / "config.json").write_text(json.dumps(config))
+    env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), "PYTHONPATH": str(library)}
     argv = [sys.executable, "-B", "-m", "slatehub", "serve"]
     process = subprocess.Popen(argv, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
     assert process.stderr
     try:
         wait_until(began.exists)
         process.send_signal(number)
-        go.touch()
+        may_continue.touch()
         line = next((x for x in process.stderr if " listens on " in x), "")
         if code is None:
-            place = line.partition(" listens on ")[2].split(",")[0].rpartition(":")
-            with socket.create_connection((place[0], int(place[2])), 20) as conn:
+            address = line.partition(" listens on ")[2].split(",")[0].rpartition(":")
+            with socket.create_connection((address[0], int(address[2])), 20) as conn:
                 conn.sendall(build_request("ok"))
                 assert read_response(conn)[0] == 200
         else:
@@ -246,7 +252,7 @@
         node.sock.close()
 
 
-def test_a_stop_told_as_soon_as_it_listens_ends_in_order(tmp_path: Path) -> None:
+def test_a_stop_right_after_the_start_ends_in_order(tmp_path: Path) -> None:
     with running_proxy(tmp_path) as p:
         p.program.process.send_signal(signal.SIGTERM)
         with p.program.connect() as conn:
