--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -1,6 +1,6 @@
-"""Connections to nodes that are cut at every byte of request and answer, by FIN and by reset: what may have run goes
-out again only where its class allows it, within the attempts, and nothing cut passes for an answer. Each cut is made at
-its byte, whatever the timing."""
+"""Connections to nodes that are closed at every byte of a request and of a response, by FIN and by reset. A request
+that may have run is retried only if its class allows it and within its attempts, and a truncated response is never
+taken for a complete one. The tests cut at an exact byte, independent of timing."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 from paddlestep.interface import Outcome, Send, Status
 
-RESET = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER: a close that resets
-FORMS = {
+RESET_ON_CLOSE = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER value that makes close() send a reset
+RESPONSES = {
     "length": b"HTTP/1.1 200 OK\r\nX-Server-Load: qps=1,util=1\r\nContent-Length: 9\r\n\r\nall of it",
     "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nall \r\n5\r\nof it\r\n0\r\n\r\n",
     "endless": b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\nall of it",
@@ -39,18 +39,18 @@
 }
 
 
-class Cutter(ScriptedNode):
-    """`/FORM-BYTES-HOW`: so many bytes of that answer, then the end. Whole requests are counted."""
+class CuttingNode(ScriptedNode):
+    """For the path `/FORM-BYTES-HOW`, sends so many bytes of that response and closes. Counts the complete requests."""
 
     def __init__(self) -> None:
-        self.whole: Counter[str] = Counter()
+        self.complete_requests: Counter[str] = Counter()
         super().__init__()
 
     def _serve(self, conn: socket.socket) -> None:
         with conn:
             try:
                 while head := read_head(conn):
-                    self.whole[header_value(head, "x-request-id")] += 1
+                    self.complete_requests[header_value(head, "x-request-id")] += 1
                     if not self.respond(conn, head, b""):
                         return
             except OSError:
@@ -58,89 +58,93 @@
 
     def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         form, _, rest = head.split(" ")[1].rpartition("/")[2].partition("-")
-        if form not in FORMS:
+        if form not in RESPONSES:
             return super().respond(conn, head, body)
         size, _, how = rest.partition("-")
-        conn.sendall(FORMS[form][: int(size)])
-        self.end(conn, how)
+        conn.sendall(RESPONSES[form][: int(size)])
+        self.close_connection(conn, how)
         return False
 
     @staticmethod
-    def end(conn: socket.socket, how: str) -> None:
+    def close_connection(conn: socket.socket, how: str) -> None:
         if how == "reset":
-            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         conn.close()
 
 
 @contextmanager
-def cutters(tmp: Path) -> Iterator[ProxyRig]:
-    with running_proxy(tmp, nodes=2, kind=Cutter) as p:
+def running_cutting_nodes(tmp: Path) -> Iterator[ProxyRig]:
+    with running_proxy(tmp, nodes=2, kind=CuttingNode) as p:
         yield p
         assert p.program.process.poll() is None
 
 
-def runs(p: ProxyRig, request: str) -> int:
-    return sum(node.whole[request] for node in p.nodes if isinstance(node, Cutter))
+def request_count(p: ProxyRig, request: str) -> int:
+    return sum(node.complete_requests[request] for node in p.nodes if isinstance(node, CuttingNode))
 
 
 @pytest.mark.parametrize("how", ["fin", "reset"])
-@pytest.mark.parametrize("form", FORMS)
-def test_an_answer_cut_at_any_byte_is_none_and_only_a_safe_request_goes_out_again(
+@pytest.mark.parametrize("form", RESPONSES)
+def test_a_response_cut_at_any_byte_is_incomplete_and_only_a_safe_request_is_retried(
     tmp_path: Path, form: str, how: str
 ) -> None:
-    with cutters(tmp_path) as p:
-        whole = len(FORMS[form])
-        for size in range(whole + 1):
+    with running_cutting_nodes(tmp_path) as p:
+        complete_size = len(RESPONSES[form])
+        for size in range(complete_size + 1):
             for cls in (UNSAFE_CLASS, SAFE_CLASS):
                 request = f"{cls}-{size}"
                 status, _, body = p.program.request(
                     build_request(f"{form}-{size}-{how}", cls, X_Request_ID=request)
                 )
-                # All of it had come, or an end that is the end: FIN after the head of one without a length.
-                ended = form == "endless" and how == "fin" and size >= FORMS[form].index(b"\r\n\r\n") + 4
+                # Complete: all bytes arrived, or a FIN after the head marks the end of a response without a length.
+                ended_by_close = (
+                    form == "endless" and how == "fin" and size >= RESPONSES[form].index(b"\r\n\r\n") + 4
+                )
                 if status == 200:
-                    assert ended or size == whole, size
+                    assert ended_by_close or size == complete_size, size
                     assert body == (
-                        FORMS[form][FORMS[form].index(b"\r\n\r\n") + 4 : size] if ended else b"all of it"
+                        RESPONSES[form][RESPONSES[form].index(b"\r\n\r\n") + 4 : size]
+                        if ended_by_close
+                        else b"all of it"
                     )
                 else:
-                    assert not ended
-                    # What may have run is failed where it may not be repeated; a safe one may be asked for again.
+                    assert not ended_by_close
+                    # A request that may have run fails if it must not be repeated; a safe one may be retried.
                     assert status == 500 if cls == UNSAFE_CLASS else status in (500, 503)
-                assert 1 <= runs(p, request) <= (1 if cls == UNSAFE_CLASS else 4)
+                assert 1 <= request_count(p, request) <= (1 if cls == UNSAFE_CLASS else 4)
 
 
-def cut(conn: Any, size: int, how: str) -> bytes:
-    """Reads so many bytes of what comes, and ends the connection."""
-    got = b""
-    while len(got) < size and (data := conn.recv(size - len(got))):
-        got += data
+def receive_and_close(conn: Any, size: int, how: str) -> bytes:
+    """Reads so many bytes and closes the connection."""
+    received = b""
+    while len(received) < size and (data := conn.recv(size - len(received))):
+        received += data
     if how == "reset":
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     conn.close()
-    return got
+    return received
 
 
 @pytest.mark.parametrize("how", ["fin", "reset"])
-@pytest.mark.parametrize("used", [False, True])
-def test_a_request_cut_at_any_byte_is_told_as_perhaps_run_once_its_last_byte_was_written(
-    used: bool, how: str
+@pytest.mark.parametrize("reused", [False, True])
+def test_a_request_cut_at_any_byte_may_have_run_only_if_its_last_byte_was_written(
+    reused: bool, how: str
 ) -> None:
-    """On a new connection, and on one that has carried a request before: there the last byte is kept until the node has
-    had its say, and if it has gone by then the request goes by another connection, as it never ran."""
-    with listen() as peer:
+    """On a new connection, and on a reused one. On a reused one the last byte is held back until the node could have
+    closed the connection. If it has, the request never ran and is sent on another connection."""
+    with listen() as listener:
         sends = [Send(n, 1) for n in range(1, 200)]
         module = Script(*sum(([send, []] for send in sends), []))
         stand = Stand(module)
-        room = room_for(stand, peer)
+        node_pool = room_for(stand, listener)
         size, length = 0, 1
         while size < length:
             conn = None
-            if used:
+            if reused:
                 stand.job(f"before-{size}")
                 rest()
-                room.send(stand.attempts[-1])
-                conn, _ = peer.accept()
+                node_pool.send(stand.attempts[-1])
+                conn, _ = listener.accept()
                 length = len(conn.recv(1000))
                 conn.sendall(WHOLE)
                 while not stand.attempts[-1].finished:
@@ -149,37 +153,42 @@
             stand.job(f"cut-{size}")
             rest()
             attempt = stand.attempts[-1]
-            room.send(attempt)
+            node_pool.send(attempt)
             if conn is None:
-                conn, _ = peer.accept()
+                conn, _ = listener.accept()
                 length = max(length, 60)
-            got = cut(conn, size, how)
+            received = receive_and_close(conn, size, how)
             rest()
-            wholes = 0
+            complete_requests = 0
             while not attempt.finished:
-                if gevent.select.select([peer], [], [], 0.005)[0]:
-                    other, _ = peer.accept()  # it goes by another one
-                    wholes += other.recv(1000).endswith(b"\r\n\r\n")
-                    other.sendall(LAST)
-                    other.close()
+                if gevent.select.select([listener], [], [], 0.005)[0]:
+                    other_conn, _ = listener.accept()  # the request is sent on a new connection
+                    complete_requests += other_conn.recv(1000).endswith(b"\r\n\r\n")
+                    other_conn.sendall(LAST)
+                    other_conn.close()
             rest()
-            ended = [e.status for e in module.events if isinstance(e, Outcome)][-1]
-            assert len(got) == size and not got.endswith(b"\r\n\r\n")
-            assert (ended is Status.OK) == (wholes == 1) and ended in (Status.OK, Status.RESET)
-            assert ended is Status.RESET or used
+            last_status = [e.status for e in module.events if isinstance(e, Outcome)][-1]
+            assert len(received) == size and not received.endswith(b"\r\n\r\n")
+            assert (last_status is Status.OK) == (complete_requests == 1) and last_status in (
+                Status.OK,
+                Status.RESET,
+            )
+            assert last_status is Status.RESET or reused
             size += 1
-        assert room.open_connections == 0
+        assert node_pool.open_connections == 0
 
 
-class Twice(ScriptedNode):
-    """Answers, and once more when it is told to, with another body; or never ends its answer."""
+class RepeatingNode(ScriptedNode):
+    """Sends a second response with another body when released, or never ends its response."""
 
     def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
         action = head.split(" ")[1].rpartition("/")[2]
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
+        response_head = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
         if action == "twice":
-            conn.sendall(whole + b"first")
-            threading.Thread(target=self.again, args=(conn, whole + b"again"), daemon=True).start()
+            conn.sendall(response_head + b"first")
+            threading.Thread(
+                target=self.send_later, args=(conn, response_head + b"again"), daemon=True
+            ).start()
             return True
         if action == "never-ends":
             conn.sendall(b"HTTP/1.1 200 OK\r\nX-Pad: ")
@@ -191,7 +200,7 @@
             return False
         return super().respond(conn, head, body)
 
-    def again(self, conn: socket.socket, data: bytes) -> None:
+    def send_later(self, conn: socket.socket, data: bytes) -> None:
         self.release.wait(20)
         try:
             conn.sendall(data)
@@ -200,18 +209,19 @@
         self.held.release()
 
 
-def test_a_late_second_answer_never_answers_the_next_request(tmp_path: Path) -> None:
-    with running_proxy(tmp_path, kind=Twice) as p:
+def test_a_late_second_response_never_answers_the_next_request(tmp_path: Path) -> None:
+    with running_proxy(tmp_path, kind=RepeatingNode) as p:
         for _ in range(5):
             assert p.program.request(build_request("twice"))[::2] == (200, b"first")
             p.nodes[0].release.set()
-            assert p.nodes[0].held.acquire(timeout=20)  # it lies there when the next request would be written
+            # The second response is there before the next request is sent.
+            assert p.nodes[0].held.acquire(timeout=20)
             p.nodes[0].release.clear()
             assert p.program.request(build_request("ok"))[::2] == (200, b"done")
 
 
-def test_an_answer_that_never_ends_is_given_up_and_its_connection_with_it(tmp_path: Path) -> None:
-    with running_proxy(tmp_path, kind=Twice) as p, p.program.connect() as conn:
+def test_a_response_that_never_ends_fails_and_its_connection_is_closed(tmp_path: Path) -> None:
+    with running_proxy(tmp_path, kind=RepeatingNode) as p, p.program.connect() as conn:
         conn.sendall(build_request("never-ends"))
         assert read_response(conn)[0] == 500
         assert p.nodes[0].disconnected.acquire(timeout=20)
