--- a/slatehub/fronts/http1/request_parser.py
+++ b/slatehub/fronts/http1/request_parser.py
@@ -53,6 +53,7 @@
         self._clear()
 
     def feed(self, data: bytes) -> None:
+        """Parses received bytes. Bytes after an error are ignored."""
         if self.error:
             return
         parsed_before = len(self.parsed)
--- a/slatehub/fronts/http1/server.py
+++ b/slatehub/fronts/http1/server.py
@@ -105,6 +105,7 @@
 
     @property
     def idle(self) -> bool:
+        """Whether no request is being received, queued or served."""
         return not (self.has_unanswered_request or self.parser.in_request)
 
     @property
@@ -113,6 +114,7 @@
         return self.serving or self.requests.qsize() > 0
 
     def answer(self, job: Job, answer: Answer) -> None:
+        """Takes the final answer of a job; the handler greenlet writes it."""
         # An answer for a request that has already ended here must not answer the next one.
         is_current = job is self.job
         if (self.closed or not is_current) and answer.response and answer.response.body_stream:
@@ -121,6 +123,7 @@
             self.result.set(answer)
 
     def close(self) -> None:
+        """Closes the connection, releases its memory and cancels its job. May be called more than once."""
         if self.closed:
             return
         self.closed = True
@@ -621,6 +624,7 @@
             self.stall_detector.heartbeat(clock())
 
     def bind(self, address: Address) -> Any:
+        """A listening socket for `start` or `apply_settings`. Raises OSError."""
         return listen(address, shared=self.config.mgmt is not None)
 
     def apply_settings(
@@ -640,6 +644,7 @@
             self.acceptor = gevent.spawn(self._accept_loop)
 
     def ready(self, request: ReceivedRequest) -> LocalResponse:
+        """The response to /ready."""
         if request.method not in ("GET", "HEAD"):
             return LocalResponse(405, "this path takes GET", closes_connection=False)
         if self.drain.active:
@@ -663,6 +668,7 @@
             gevent.spawn(self._close_idle_while_draining, self.drain)
 
     def end_drain(self) -> None:
+        """Ends an operator's drain."""
         self.drain.cancel()
 
     def suspend(self) -> None:
@@ -692,10 +698,12 @@
             gevent.sleep(0.02)
 
     def mark_idle(self, connection: CallerConnection) -> None:
+        """Makes it the most recently used connection."""
         if connection in self.connections:
             self.connections.move_to_end(connection)
 
     def remove(self, connection: CallerConnection) -> None:
+        """Removes a closed connection."""
         self.connections.pop(connection, None)
         self.paused_readers.discard(connection)
 
@@ -755,6 +763,7 @@
 
     @property
     def closing_connections(self) -> bool:
+        """Whether responses close their connection."""
         return (
             self.drain.active
             or self.handover.active
--- a/tests/proxy_rig.py
+++ b/tests/proxy_rig.py
@@ -76,6 +76,7 @@
                 pass
 
     def respond(self, conn: socket.socket, head: str, body: bytes) -> bool:
+        """Sends the response. Returns whether the connection stays open."""
         raise NotImplementedError
 
 
@@ -289,6 +290,7 @@
         return socket.create_connection(self.address, 30)
 
     def request(self, data: bytes) -> tuple[int, str, bytes]:
+        """Sends a request on a new connection and records it for the audit. Status, head and body of the response."""
         with self.connect() as conn:
             self.sent.append((now_us(), data))
             try:
@@ -323,7 +325,7 @@
 
 
 request_count = 0
-issued: Counter[str] = Counter()  # how often each request id was used
+issued: Counter[str] = Counter()  # how often each request id was used; one used twice is not judged
 
 
 def build_request(
