--- a/slatehub/decisions/pacing.py
+++ b/slatehub/decisions/pacing.py
@@ -1,6 +1,6 @@
-"""How fast connections are made: `AcceptLimiter` for callers who come in, `ConnectLimiter` for our own to nodes. This
-file owns the counts that this takes. It must never read a clock, touch a socket or keep a queue: who has to wait,
-and in what order, is the caller's."""
+"""Rate limits for new connections: `AcceptLimiter` for connections from callers, `ConnectLimiter` for the proxy's own
+connections to nodes. Both only count: they read no clock, use no socket and keep no queue. Which connection waits, and
+in what order, is decided by the code that calls them. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -9,9 +9,13 @@
 from random import Random
 
 SECOND = 1_000_000
-TOKEN = SECOND  # in millionths: a rate per second is then whole millionths a microsecond, and nothing rounds
-MAX_TRACKED_NODES = 512  # gates at once, some 300 KB; of more nodes, those not used for longest begin anew
-LOOK_US = 1_000  # the shortest between two asks at a full gate
+TOKEN = (
+    SECOND  # one token in millionths: a rate per second is then an integer per microsecond, without rounding
+)
+MAX_TRACKED_NODES = (
+    512  # about 300 KB; with more nodes the least recently used one is forgotten and starts afresh
+)
+MIN_RETRY_US = 1_000  # shortest wait before asking again while a node's window is full
 
 
 # ---------------------------------------------------------------- callers
@@ -19,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptLimiterConfig:
-    """ValueError where a value is out of its bounds.
+    """ValueError if a value is out of range.
 
-    per_s       connections let in a second, 1 to 1,000,000; half of them while more than `busy` jobs are in
-                hand. One costs some 45 us to let in, and may bring a job, which costs far more
-    burst       connections let in at once after a quiet time, 1 to 1,000,000
-    busy        jobs in hand, 0 or more
-    slowest_us  one is let in at least this often, whatever the rate, 1 or more"""
+    per_s       connections accepted per second, 1 to 1,000,000; half of that while more than `busy` jobs are
+                in hand. Accepting one takes about 45 us and may bring a job, which costs far more
+    burst       connections accepted at once after an idle period, 1 to 1,000,000
+    busy        number of jobs in hand, 0 or more
+    slowest_us  at least one connection is accepted per this time, whatever the rate, 1 or more"""
 
     per_s: int = 2_000
     burst: int = 128
@@ -39,32 +43,32 @@
 
 
 class AcceptLimiter:
-    """How many new connections may be taken in now, so that those inside are answered: a token bucket (RFC
-    3290, appendix A), exact in whole numbers. Over any time t it lets in at most rate x t + burst, a step of
-    the clock included; the rate is per_s, or one per slowest_us if that is more. O(1)."""
-
-    def __init__(self, terms: AcceptLimiterConfig) -> None:
-        self.terms = terms
-        least = -(-SECOND // terms.slowest_us)
-        self._speeds = max(terms.per_s, least), max(terms.per_s // 2, least)
-        self._speed = self._speeds[0]
-        self._full = self._level = terms.burst * TOKEN
-        self._at = 0
-
-    def acquire(self, now: int, inside_busy: int, want: int = 1) -> int:
-        """How many of the `want` at the door may come in now, 0 or more; they count as in. `inside_busy`:
-        jobs in hand."""
-        self._speed = self._speeds[inside_busy > self.terms.busy]
-        self._level = min(self._full, self._level + self._speed * max(0, now - self._at))
-        self._at = max(now, self._at)
-        taken = max(0, min(want, self._level // TOKEN))
-        self._level -= taken * TOKEN
-        return taken
+    """Limits how many new connections are accepted, so that callers already connected get their answers: a token
+    bucket (RFC 3290, appendix A) in exact integers. Over any time t it admits at most rate * t + burst, even if the
+    clock jumps; the rate is per_s, or one per slowest_us if that is more. O(1)."""
+
+    def __init__(self, config: AcceptLimiterConfig) -> None:
+        self.config = config
+        min_rate = -(-SECOND // config.slowest_us)
+        self._rates = max(config.per_s, min_rate), max(config.per_s // 2, min_rate)
+        self._rate = self._rates[0]
+        self._capacity = self._level = config.burst * TOKEN
+        self._updated_at = 0
+
+    def acquire(self, now: int, jobs_in_hand: int, want: int = 1) -> int:
+        """Returns how many of the `want` waiting connections may be accepted now, 0 or more, and takes their
+        tokens."""
+        self._rate = self._rates[jobs_in_hand > self.config.busy]
+        self._level = min(self._capacity, self._level + self._rate * max(0, now - self._updated_at))
+        self._updated_at = max(now, self._updated_at)
+        granted = max(0, min(want, self._level // TOKEN))
+        self._level -= granted * TOKEN
+        return granted
 
     def due(self) -> int | None:
-        """When the next one may come in, should the desk stay as busy as it is; None: now."""
+        """When the next connection may be accepted, at the rate of the last `acquire`; None: now."""
         missing = TOKEN - self._level
-        return self._at - (-missing // self._speed) if missing > 0 else None
+        return self._updated_at - (-missing // self._rate) if missing > 0 else None
 
 
 # ---------------------------------------------------------------- nodes
@@ -72,13 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectLimiterConfig:
-    """ValueError where a value is out of its bounds.
+    """ValueError if a value is out of range.
 
-    first      handshakes at once with a node not met before, 1 to most
-    again      the same with one that has come back, 1 to first
-    most       handshakes at once, 1 to 1,024
-    spread_us  the first with a node that has come back waits for up to this, 0 or more, by chance
-    lost_us    a handshake not heard of for so long has failed, 1 or more; longer than any connect takes"""
+    first      concurrent handshakes with a node seen for the first time, 1 to most
+    again      concurrent handshakes with a node that has come back, 1 to first
+    most       upper bound of concurrent handshakes with one node, 1 to 1,024
+    spread_us  the first handshake with a node that has come back waits a random time up to this, 0 or more
+    lost_us    a handshake that has not ended after this time counts as failed, 1 or more; longer than any
+               connect takes"""
 
     first: int = 8
     again: int = 2
@@ -92,86 +97,101 @@
             raise ValueError(f"out of bounds: {self}")
 
 
-class _Gate:
-    """One node's."""
+class _NodeWindow:
+    """The handshake window of one node."""
 
-    __slots__ = ("good", "hold", "out", "returning", "since", "took", "window")
+    __slots__ = (
+        "handshake_us",
+        "in_flight",
+        "just_returned",
+        "not_before",
+        "returned_at",
+        "size",
+        "successes",
+    )
 
-    def __init__(self, window: int) -> None:
-        self.window = window
-        self.good = 0  # successes since the window last changed
-        self.out: list[int] = []  # when each handshake under way was let go, at most `most` of them
-        self.hold = 0  # none before
-        self.since = -1  # when it last came back: what was let go before tells nothing of it
-        self.returning = False  # has come back, and none was let go since
-        self.took = 0  # how long a handshake usually takes
+    def __init__(self, size: int) -> None:
+        self.size = size
+        self.successes = 0  # since the size last changed
+        self.in_flight: list[int] = []  # start time of each handshake in progress, at most `most` of them
+        self.not_before = 0  # no handshake starts before this time
+        self.returned_at = -1  # handshakes started up to then say nothing about the node as it is now
+        self.just_returned = False  # the node has come back and no handshake has started since
+        self.handshake_us = 0  # moving average of the duration of a handshake
 
 
 class ConnectLimiter:
-    """At most a window of handshakes at once with each node, so that one that comes back is not met by all
-    callers' calls, of all proxies, in the same moment. The window doubles after as many successes and halves
-    at each failure, as TCP's in its slow start (RFC 5681, section 3.1). O(1); at most `most` marks a node."""
+    """Allows at most a window of concurrent handshakes with each node, so that a node that comes back does not get
+    the connections of all callers of all proxies at once. The window doubles after as many successes as its size and
+    halves at each failure, like TCP slow start (RFC 5681, section 3.1). O(1); at most `most` start times per node."""
 
-    def __init__(self, terms: ConnectLimiterConfig, rng: Random) -> None:
-        self.terms = terms
+    def __init__(self, config: ConnectLimiterConfig, rng: Random) -> None:
+        self.config = config
         self.rng = rng
-        self._gates: OrderedDict[int, _Gate] = OrderedDict()  # the one not used for longest first
+        self._windows: OrderedDict[int, _NodeWindow] = OrderedDict()  # least recently used first
 
     def acquire(self, now: int, endpoint: int) -> int:
-        """0: begin a handshake now, and say by `release` how it ended; else microseconds, 1 or more, until it
-        is worth asking again: at a full window, as long as a handshake usually takes."""
-        gate = self._gate(endpoint)
-        self._lose(now, gate)
-        if now < gate.hold:
-            return gate.hold - now
-        if len(gate.out) >= gate.window:
-            return min(max(LOOK_US, gate.took), gate.out[0] + self.terms.lost_us - now)
-        gate.out.append(now)
-        gate.returning = False
+        """0: start a handshake now and report its end by `release`; otherwise the microseconds, 1 or more, until
+        it is worth asking again: with a full window, the usual duration of a handshake."""
+        window = self._window(endpoint)
+        self._expire_lost(now, window)
+        if now < window.not_before:
+            return window.not_before - now
+        if len(window.in_flight) >= window.size:
+            return min(
+                max(MIN_RETRY_US, window.handshake_us), window.in_flight[0] + self.config.lost_us - now
+            )
+        window.in_flight.append(now)
+        window.just_returned = False
         return 0
 
-    def release(self, now: int, endpoint: int, ok: bool, asked: int) -> None:
-        """How the handshake ended for which `acquire` said 0 at `asked`. One given up for lost changes
-        nothing."""
-        gate = self._gates.get(endpoint)
-        if gate is None or asked not in gate.out:
+    def release(self, now: int, endpoint: int, ok: bool, started_at: int) -> None:
+        """Reports the end of the handshake for which `acquire` returned 0 at `started_at`. A handshake that already
+        counted as lost changes nothing."""
+        window = self._windows.get(endpoint)
+        if window is None or started_at not in window.in_flight:
             return
-        gate.out.remove(asked)
+        window.in_flight.remove(started_at)
         if not ok:
-            return self._failed(gate, asked)
-        if asked <= gate.since:
+            return self._shrink(window, started_at)
+        if started_at <= window.returned_at:
             return
-        gate.took += (now - asked - gate.took) // 8
-        gate.good += 1
-        if gate.good >= gate.window:
-            gate.window, gate.good = min(2 * gate.window, self.terms.most), 0
+        window.handshake_us += (now - started_at - window.handshake_us) // 8
+        window.successes += 1
+        if window.successes >= window.size:
+            window.size, window.successes = min(2 * window.size, self.config.most), 0
 
     def node_returned(self, now: int, endpoint: int) -> None:
-        """It has started, or come back. Said again before a handshake has begun it changes nothing: a node
-        that is announced over and over must not be put off for ever."""
-        gate = self._gate(endpoint)
-        if not gate.returning:
-            gate.window, gate.good, gate.returning, gate.since = self.terms.again, 0, True, now
-            gate.hold = now + self.rng.randint(0, self.terms.spread_us)
+        """The node has started or come back. A repeated call before a handshake has started changes nothing: a node
+        that is announced over and over must not be delayed without end."""
+        window = self._window(endpoint)
+        if not window.just_returned:
+            window.size, window.successes, window.just_returned, window.returned_at = (
+                self.config.again,
+                0,
+                True,
+                now,
+            )
+            window.not_before = now + self.rng.randint(0, self.config.spread_us)
 
     def node_removed(self, endpoint: int) -> None:
-        """Off the list: nothing of it is kept."""
-        self._gates.pop(endpoint, None)
-
-    def _gate(self, endpoint: int) -> _Gate:
-        if gate := self._gates.get(endpoint):
-            self._gates.move_to_end(endpoint)
-            return gate
-        if len(self._gates) >= MAX_TRACKED_NODES:
-            self._gates.popitem(last=False)
-        gate = self._gates[endpoint] = _Gate(self.terms.first)
-        return gate
-
-    def _lose(self, now: int, gate: _Gate) -> None:
-        # Guards against a window that fills up with handshakes whose end nobody told.
-        while gate.out and gate.out[0] + self.terms.lost_us <= now:
-            self._failed(gate, gate.out.pop(0))
-
-    def _failed(self, gate: _Gate, asked: int) -> None:
-        if asked > gate.since:  # else it was with the node as it was before
-            gate.window, gate.good = max(1, gate.window // 2), 0
+        """The node has left the list: its state is dropped."""
+        self._windows.pop(endpoint, None)
+
+    def _window(self, endpoint: int) -> _NodeWindow:
+        if window := self._windows.get(endpoint):
+            self._windows.move_to_end(endpoint)
+            return window
+        if len(self._windows) >= MAX_TRACKED_NODES:
+            self._windows.popitem(last=False)
+        window = self._windows[endpoint] = _NodeWindow(self.config.first)
+        return window
+
+    def _expire_lost(self, now: int, window: _NodeWindow) -> None:
+        # Handshakes whose end is never reported would otherwise fill the window for good.
+        while window.in_flight and window.in_flight[0] + self.config.lost_us <= now:
+            self._shrink(window, window.in_flight.pop(0))
+
+    def _shrink(self, window: _NodeWindow, started_at: int) -> None:
+        if started_at > window.returned_at:  # an earlier handshake was with the node before it came back
+            window.size, window.successes = max(1, window.size // 2), 0
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -78,9 +78,9 @@
         for _ in range(number % 20 * (what == "a")):
             wait = pace.acquire(now, 1)
             out += [now] * (wait == 0)
-            counted, gate = [t for t in out if t + terms.lost_us > now], pace._gates[1]
-            assert 0 <= wait <= terms.lost_us and 1 <= gate.window <= terms.most
-            assert wait or len(gate.out) == len(counted) <= min(gate.window, bound)
+            counted, window = [t for t in out if t + terms.lost_us > now], pace._windows[1]
+            assert 0 <= wait <= terms.lost_us and 1 <= window.size <= terms.most
+            assert wait or len(window.in_flight) == len(counted) <= min(window.size, bound)
     end = now + terms.spread_us + terms.lost_us
     while wait := pace.acquire(now, 1):
         now += wait
@@ -94,9 +94,9 @@
         for _ in range(sizes[-1]):
             pace.release(now + 5_000, 1, True, now)
     assert sizes == [2, 4, 8, 8, 8]
-    assert pace.acquire(100_000, 1) == 0 == pace.acquire(100_000 + S, 1) and pace._gates[1].window == 4
+    assert pace.acquire(100_000, 1) == 0 == pace.acquire(100_000 + S, 1) and pace._windows[1].size == 4
     pace.release(200_000 + S, 1, True, 100_000)  # heard of too late: that one counts no more
-    assert len(pace._gates[1].out) == 1
+    assert len(pace._windows[1].in_flight) == 1
 
 
 def test_what_began_before_a_return_tells_nothing_of_the_node_since():
@@ -118,10 +118,10 @@
         pace.node_returned(waits[-1], 1)  # announced again meanwhile: not put off
         assert pace.acquire(waits[-1], 1) == 0
         pace.node_returned(S, 1)
-        assert pace._gates[1].hold >= S
+        assert pace._windows[1].not_before >= S
     assert max(sum(t <= w < t + 10_000 for w in waits) for t in range(0, 100_000, 10_000)) < 25
-    gate = pace._gates[1]
+    window = pace._windows[1]
     for node in range(2, 2 * MAX_TRACKED_NODES):
         pace.acquire(S, node)
         pace.acquire(S, 1)
-    assert len(pace._gates) == MAX_TRACKED_NODES and pace._gates[1] is gate
+    assert len(pace._windows) == MAX_TRACKED_NODES and pace._windows[1] is window
