--- a/slatehub/decisions/fleet/__init__.py
+++ b/slatehub/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What proxies that know each other make of it together. Pure; each computes by itself from the same sums."""
+"""Load sharing between proxies. Pure: each proxy computes its own share from the same sums."""
--- a/slatehub/decisions/fleet/meter.py
+++ b/slatehub/decisions/fleet/meter.py
@@ -1,5 +1,5 @@
-"""What this proxy carries, read off the module's events and actions. It owns the counts. It must never change what it
-watches, and never grow with what passes."""
+"""Measures this proxy's load from the balancer's events and actions. Observing changes nothing in the balancer, and the
+memory used does not grow with the traffic."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 from paddlestep.interface import Action, Arrival, Event, Outcome, Refuse, Send, Status
 
-from .load import CALLS_MOST, CLASSES_MOST, Load, NodeLoad
+from .load import MAX_CALLS_PER_NODE, MAX_CLASSES, Load, NodeLoad
 
-SPAN_US = 3_000_000  # over which rates are averaged
-ENDS_US = 700_000  # over which the ends of calls at each node are remembered
+RATE_SPAN_US = 3_000_000  # time over which rates are averaged
+OUTCOME_MEMORY_US = 700_000  # time over which the outcomes of calls to each node are remembered
 FAILED = frozenset((Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.TIMEOUT))
 
 
 class BalancerView(Protocol):
+    """What is read of the balancer."""
+
     @property
     def servers(self) -> Mapping[int, Any]: ...
     @property
@@ -34,88 +36,93 @@
 
 
 class LoadMeter:
-    """`batch` sees each turn of the module; `read` gives the load."""
+    """`batch` observes each batch of the balancer; `read` returns the load. Times are microseconds."""
 
     def __init__(self, now: int) -> None:
         self.counts = dict.fromkeys(("arrivals", "sends", "further", "refused", "served"), 0)
         self.rates = dict.fromkeys(self.counts, 0.0)
-        self.by_class = [[0, 0] for _ in range(CLASSES_MOST)]
-        self.class_rates = [[0.0, 0.0] for _ in range(CLASSES_MOST)]
+        self.class_counts = [[0, 0] for _ in range(MAX_CLASSES)]  # arrivals, refusals
+        self.class_rates = [[0.0, 0.0] for _ in range(MAX_CLASSES)]
         self.classes = 0
-        self.began = self.at = now
-        self.open: dict[int, tuple[int, int]] = {}  # request -> its class, its attempts
-        self.ends: dict[int, list[float]] = {}  # node -> failed and served calls, fading
+        self.started_at = self.read_at = now
+        self.open_requests: dict[int, tuple[int, int]] = {}  # request -> its class, its attempts
+        self.outcomes: dict[int, list[float]] = {}  # endpoint -> failed and served calls, decaying
 
     def batch(self, now: int, events: Sequence[Event], actions: Sequence[Action]) -> None:
+        """Counts the events and actions of one batch."""
         for event in events:
             if isinstance(event, Arrival):
                 self.counts["arrivals"] += 1
-                cls = min(event.cls, CLASSES_MOST - 1)
+                cls = min(event.cls, MAX_CLASSES - 1)
                 self.classes = max(self.classes, cls + 1)
-                self.by_class[cls][0] += 1
-                self.open[event.request] = (cls, 0)
+                self.class_counts[cls][0] += 1
+                self.open_requests[event.request] = (cls, 0)
             elif isinstance(event, Outcome):
                 if event.status is Status.OK or event.status in FAILED:
-                    self._end(event.endpoint, event.status is Status.OK)
+                    self._record_outcome(event.endpoint, event.status is Status.OK)
                 self.counts["served"] += event.status is Status.OK
                 if event.closed:
-                    self.open.pop(event.request, None)
+                    self.open_requests.pop(event.request, None)
         for action in actions:
             if isinstance(action, Send):
-                cls, attempts = self.open.get(action.request, (0, 1))
+                cls, attempts = self.open_requests.get(action.request, (0, 1))
                 self.counts["further" if attempts else "sends"] += 1
-                if action.request in self.open:
-                    self.open[action.request] = (cls, attempts + 1)
+                if action.request in self.open_requests:
+                    self.open_requests[action.request] = (cls, attempts + 1)
             elif isinstance(action, Refuse):
                 self.counts["refused"] += 1
-                cls, _ = self.open.pop(action.request, (0, 0))
-                self.by_class[cls][1] += 1
-        if len(self.open) > 100_000:  # requests that ended in a way that this does not see
-            self.open.clear()
-
-    def _end(self, node: int, served: bool) -> None:
-        """The latest says most: each end halves what spoke for the other. Guards against a node that has just gone bad
-        and is asked no more: what it served before would outweigh its failures until both are forgotten."""
-        ends = self.ends.setdefault(node, [0.0, 0.0])
-        ends[served] += 1
-        ends[not served] /= 2
-
-    def read(self, now: int, module: BalancerView) -> Load:
-        """Rates over some seconds, and what is out now."""
-        passed = max(1, now - self.at)
-        self.at = now
-        # While it is young the average is of what there has been, not of that and of nothing before.
-        keep = exp(-passed / min(SPAN_US, max(passed, now - self.began)))
+                cls, _ = self.open_requests.pop(action.request, (0, 0))
+                self.class_counts[cls][1] += 1
+        if len(self.open_requests) > 100_000:  # requests that ended in a way that is not observed here
+            self.open_requests.clear()
+
+    def _record_outcome(self, endpoint: int, served: bool) -> None:
+        """Recent outcomes weigh most: each one halves the count of the opposite kind. Otherwise, at a node that has
+        just gone bad and gets no more calls, the calls served before would outweigh its failures until both are
+        forgotten."""
+        counts = self.outcomes.setdefault(endpoint, [0.0, 0.0])
+        counts[served] += 1
+        counts[not served] /= 2
+
+    def read(self, now: int, balancer: BalancerView) -> Load:
+        """The rates averaged over RATE_SPAN_US, and what is in flight now."""
+        passed = max(1, now - self.read_at)
+        self.read_at = now
+        # A meter younger than RATE_SPAN_US averages over its lifetime; the time before does not count as zero.
+        keep = exp(-passed / min(RATE_SPAN_US, max(passed, now - self.started_at)))
         for name, count in self.counts.items():
             self.rates[name] = self.rates[name] * keep + count * 1e6 / passed * (1 - keep)
             self.counts[name] = 0
-        for rates, counts in zip(self.class_rates, self.by_class, strict=True):
+        for rates, counts in zip(self.class_rates, self.class_counts, strict=True):
             for i in (0, 1):
                 rates[i] = rates[i] * keep + counts[i] * 1e6 / passed * (1 - keep)
                 counts[i] = 0
-        fade = exp(-passed / ENDS_US)
-        for number, ends in list(self.ends.items()):
-            server = module.servers.get(number)
+        decay = exp(-passed / OUTCOME_MEMORY_US)
+        for endpoint, outcomes in list(self.outcomes.items()):
+            server = balancer.servers.get(endpoint)
             if server and server.ejected > now and not server.told:
-                # What it was ejected for counts until it is tried again. Guards against proxies of little traffic that
-                # eject a node one after the other: each of two failures or three, forgotten before the next one's.
-                ends[1] = 0.0
+                # The failures for which a node was ejected count until it is tried again. Otherwise, when proxies with
+                # little traffic eject a node one after the other, each for two or three failures, the failures of one
+                # are forgotten before those of the next are reported.
+                outcomes[1] = 0.0
                 continue
-            ends[:] = [ends[0] * fade, ends[1] * fade]
-            if number not in module.servers or max(ends) < 0.01:
-                del self.ends[number]
+            outcomes[:] = [outcomes[0] * decay, outcomes[1] * decay]
+            if endpoint not in balancer.servers or max(outcomes) < 0.01:
+                del self.outcomes[endpoint]
         per_s = self.rates
-        plain = (
-            per_s["arrivals"], per_s["sends"], per_s["further"], per_s["refused"], module.used, max(0.0, module.slots),
-            float(module.waiting), per_s["served"],
+        totals = (
+            per_s["arrivals"], per_s["sends"], per_s["further"], per_s["refused"], balancer.used,
+            max(0.0, balancer.slots), float(balancer.waiting), per_s["served"],
         )  # fmt: skip
         classes = tuple((rates[0], rates[1]) for rates in self.class_rates[: self.classes])
-        return Load(1, plain, classes, self._nodes(module))
-
-    def _nodes(self, module: BalancerView) -> dict[int, NodeLoad]:
-        """Those that this proxy has had to do with: of ten thousand it tells of a few."""
-        told = {}
-        for number, (failed, served) in self.ends.items():
-            flights = float(module.servers[number].flights)
-            told[number] = NodeLoad(flights, 1.0, min(failed, CALLS_MOST), min(served, CALLS_MOST))
-        return told
+        return Load(1, totals, classes, self._nodes(balancer))
+
+    def _nodes(self, balancer: BalancerView) -> dict[int, NodeLoad]:
+        """The nodes that this proxy has recently used: a few, even if there are ten thousand."""
+        found = {}
+        for endpoint, (failed, served) in self.outcomes.items():
+            flights = float(balancer.servers[endpoint].flights)
+            found[endpoint] = NodeLoad(
+                flights, 1.0, min(failed, MAX_CALLS_PER_NODE), min(served, MAX_CALLS_PER_NODE)
+            )
+        return found
--- a/slatehub/decisions/fleet/policy.py
+++ b/slatehub/decisions/fleet/policy.py
@@ -1,9 +1,11 @@
-"""What one proxy makes of the sums of all: its part of the nodes' slots, how much of them lies idle, whether the
-fleet may still afford further attempts, and which nodes it leaves to another to try. It owns the thresholds. It must
-never give more than its clamps allow, whatever it is told, and gives nothing where it is told too little or too late.
+"""Derives from the fleet's load sums what one proxy may do: its share of the nodes' slots, how much of them is idle,
+whether the fleet may still afford retries, and which nodes are left to other proxies to probe. This module defines the
+thresholds. Results stay within fixed bounds whatever the sums say, and without sufficient and recent sums there is no
+result.
 
-Each proxy computes this by itself from the same sums, so that no two need agree on who decides. Where sums differ (a
-cut, a lie, news on its way) the parts of all add up to more or less than one by as much as the sums differ."""
+Each proxy computes this by itself from the same sums, so no coordinator is needed. Where the sums differ (a network
+partition, a false report, updates in transit) the shares of all proxies add up to more or less than one by as much as
+the sums differ."""
 
 from __future__ import annotations
 
@@ -17,41 +19,50 @@
 
 from .load import Load
 
-MAX_SUM_AGE_US = 3_000_000  # sums that are older count for nothing
-COVER = 2 / 3  # of the members that are alive must be in them
-MOST_TIMES, LEAST_TIMES = 32.0, 0.5  # a part is within this of an even one
-FEW = 2.0  # arrivals a second of each, on average, below which needs tell nothing
-EVEN = 2.0  # a need within this of the mean is seen over SLOW_US: arrivals of some seconds scatter by as much
-TRIM = 4.0  # a part is at the most so many times, or a part so small, of its need
-GAIN = 2.0  # by which it grows a second for each unit by which more is refused here than by all
-FORGET_US = 5_000_000  # over which it goes back to 1 once nothing is refused
-LOOK_MOST_US = 1_000_000  # of the time since the last look that counts
-SLOW_US = 20_000_000
-DOUBT = 50.0  # arrivals at the mean rate that each is taken to have had besides its own
-SHORT, SHORT_UNTIL = 0.85, 0.7  # of the slots of all in use: short from the one on, until below the other
-TRIES = 0.1  # further attempts for each first one, over the fleet
-TRIES_AGAIN = 0.08  # from below which there may be more again
-FAILED_LEAST = 3.0  # failed calls of late, over the fleet, before a node is left to one proxy to try
-FAILED_PART = 0.6  # of the calls that ended there, and twice as many as elsewhere
-BARRED_MOST_US = 3_000_000  # without any news of a node it is tried by all again
-BEST_US = 60_000_000  # over which the most that a node was seen to serve is forgotten
-NODES_US = 5_000_000  # the same of nodes that have gone: what was served of late was served by them too
-CLOSER = (
-    3.0  # what is told of a call's work may be so many times below what this proxy alone would take it for
+MAX_SUM_AGE_US = 3_000_000  # older sums are ignored
+MIN_COVERAGE = 2 / 3  # part of the living members that the sums must include
+MAX_SHARE_FACTOR, MIN_SHARE_FACTOR = 32.0, 0.5  # bounds of a share, as multiples of an even one
+MIN_ARRIVALS_PER_S = 2.0  # mean per proxy; with fewer arrivals the differences in demand mean nothing
+EVEN_FACTOR = (
+    2.0  # demand within this factor of the mean is averaged over SLOW_SPAN_US: short counts scatter as much
 )
-TRIED_BY = 16  # one of so many proxies tries a node for all: not each has it among those that it sends to
+MAX_CORRECTION = 4.0  # the correction multiplies or divides a share by this at most
+CORRECTION_GAIN = (
+    2.0  # its growth per second for each unit by which the refused part here exceeds that of the fleet
+)
+CORRECTION_DECAY_US = 5_000_000  # time over which it returns to 1 once nothing is refused
+MAX_STEP_US = 1_000_000  # longest time since the last evaluation that one step of the correction counts
+SLOW_SPAN_US = 20_000_000
+PRIOR_ARRIVALS = 50.0  # arrivals at the mean rate that are added to each proxy's own count
+SHORTAGE_START, SHORTAGE_END = (
+    0.85,
+    0.7,
+)  # slots in use of all: a shortage starts above the one, ends below the other
+MAX_RETRY_RATIO = 0.1  # retries for each first attempt, over the fleet
+RESUME_RETRY_RATIO = 0.08  # retries are allowed again below this
+MIN_FAILED_CALLS = 3.0  # recent failed calls, over the fleet, before only some proxies probe a node
+MIN_FAILED_RATIO = 0.6  # of the calls that ended there; the ratio must also be twice that of the other nodes
+MAX_AVOIDED_US = 3_000_000  # without a further failure for so long, all proxies try the node again
+BEST_RATE_MEMORY_US = 60_000_000  # time over which the highest rate that nodes served is forgotten
+NODE_COUNT_MEMORY_US = 5_000_000  # the same for removed nodes, as they served part of the recent calls, too
+MAX_WORK_REDUCTION = (
+    3.0  # the reported work of a call is at most so many times below this proxy's own estimate
+)
+PROXIES_PER_PROBER = 16  # one of so many proxies probes a node, as not every proxy sends to every node
 
 
 @dataclass(slots=True)
-class Barred:
+class AvoidedNode:
+    """When a node was first avoided, and when its last failure was reported."""
+
     since: int
-    heard: int
+    last_failure_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class LocalEstimate:
-    """What a proxy takes for true by itself: nodes that it may send to, and the microseconds of one that a call takes
-    (0: not known yet); of each class its worth for the work."""
+    """What a proxy estimates by itself: the number of nodes that it may send to, the microseconds of a node's time that
+    a call takes (0: not known yet), and for each class its worth per work."""
 
     nodes: int = 0
     work: float = 0.0
@@ -62,18 +73,22 @@
 
 
 class FleetPolicy:
-    """One proxy's. `name`: its own in the fleet."""
+    """The policy of one proxy. `name`: its own name in the fleet."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.avoided_nodes: dict[int, Barred] = {}
-        self.began = self.looked = 0
-        self.slow, self.usual = 0.0, 0.0  # arrivals a second, ours and of each on average, over SLOW_US
-        self.best, self.best_at = 0.0, 0  # calls a second that a node served at the most, on average of all
-        self.nodes = 0.0  # that served of late
-        self.share_correction, self.trimmed_at = 1.0, 0
-        self.short = False  # all together
-        self.spent = False  # the fleet has made as many further attempts as it may
+        self.avoided_nodes: dict[int, AvoidedNode] = {}
+        self.smoothing_since = self.smoothed_at = 0
+        # Arrivals per second, of this proxy and the mean of all, over SLOW_SPAN_US.
+        self.own_arrivals, self.mean_arrivals = 0.0, 0.0
+        self.best_rate, self.best_rate_at = (
+            0.0,
+            0,
+        )  # most calls per second that a node served, averaged over the nodes
+        self.serving_nodes = 0.0  # nodes that served recently
+        self.share_correction, self.corrected_at = 1.0, 0
+        self.shortage = False  # of the slots of the whole fleet
+        self.retries_exhausted = False  # the fleet has made as many retries as it may
 
     def evaluate(
         self,
@@ -82,111 +97,143 @@
         fleet: Load | None,
         age_us: int,
         alive: Iterable[str],
-        alone: LocalEstimate = NO_ESTIMATE,
+        local: LocalEstimate = NO_ESTIMATE,
     ) -> Peers:
-        """`fleet`: the sum of all as last told, `age_us` old; `alive`: the other members'; `alone`: what this proxy
-        would go by without them. An event for the module; one that says nothing (`Peers()`) where there is nothing to
-        go by."""
+        """`fleet`: the latest sum of all proxies, `age_us` old; `alive`: names of the other members; `local`: what this
+        proxy would use without them. Returns an event for the balancer, an empty one (`Peers()`) where the sums do not
+        suffice."""
         names = sorted({self.name, *alive})
-        if fleet is None or age_us > MAX_SUM_AGE_US or fleet.members < COVER * len(names) or len(names) < 2:
+        if (
+            fleet is None
+            or age_us > MAX_SUM_AGE_US
+            or fleet.members < MIN_COVERAGE * len(names)
+            or len(names) < 2
+        ):
             self.avoided_nodes.clear()
-            self.spent = self.short = False
-            self.share_correction = 1.0  # what was right before a cut need not be after it
+            self.retries_exhausted = self.shortage = False
+            self.share_correction = 1.0  # a value from before a partition need not fit afterwards
             return Peers()
-        if self.spent:
-            self.spent = fleet.retry_ratio > TRIES_AGAIN
+        if self.retries_exhausted:
+            self.retries_exhausted = fleet.retry_ratio > RESUME_RETRY_RATIO
         else:
-            self.spent = fleet.retry_ratio > TRIES and fleet.further > 1
-        part = self._part(now, own, fleet, len(names))
+            self.retries_exhausted = fleet.retry_ratio > MAX_RETRY_RATIO and fleet.further > 1
+        share = self._share(now, own, fleet, len(names))
         idle = max(0.0, min(1.0, 1 - fleet.used / fleet.slots)) if fleet.slots > 0 else 0.0
-        barred, work = self._bar(now, fleet, names), self._work(now, fleet, alone)
+        avoided, work = self._avoid_nodes(now, fleet, names), self._work_per_call(now, fleet, local)
         return Peers(
-            len(names), part, round(idle, 2), not self.spent, barred, self._worth(fleet, alone), work
+            len(names),
+            share,
+            round(idle, 2),
+            not self.retries_exhausted,
+            avoided,
+            self._worth_threshold(fleet, local),
+            work,
         )
 
-    def _worth(self, fleet: Load, alone: LocalEstimate) -> float:
-        """While all together are short, the mean worth for its work of what is asked of all: the same line at each
-        proxy, whatever it is asked itself, and whether or not its own room is short. 0: they are not short."""
-        self.short = fleet.used > (SHORT_UNTIL if self.short else SHORT) * fleet.slots
-        rated = [(rates[0], value) for rates, value in zip(fleet.classes, alone.values, strict=False)]
-        asked = sum(rate for rate, _ in rated)
-        return sum(rate * value for rate, value in rated) / asked if self.short and asked else 0.0
-
-    def _work(self, now: int, fleet: Load, alone: LocalEstimate) -> float:
-        """Microseconds of a node that a call takes: a node that is never idle serves one in just so long, and one that
-        is idle at times fewer, so that the most that was served errs high. What one proxy among many sees is mostly
-        the wait behind calls of the others, and a cold node was given half of its budget for it."""
-        if not alone.nodes or not alone.work:
+    def _worth_threshold(self, fleet: Load, local: LocalEstimate) -> float:
+        """During a shortage, the mean worth per work of all calls that the fleet receives: the same threshold at each
+        proxy, whatever calls it receives itself, and whether or not it is short of slots itself. 0: no shortage."""
+        self.shortage = fleet.used > (SHORTAGE_END if self.shortage else SHORTAGE_START) * fleet.slots
+        rated = [(rates[0], value) for rates, value in zip(fleet.classes, local.values, strict=False)]
+        arrivals = sum(rate for rate, _ in rated)
+        return sum(rate * value for rate, value in rated) / arrivals if self.shortage and arrivals else 0.0
+
+    def _work_per_call(self, now: int, fleet: Load, local: LocalEstimate) -> float:
+        """Microseconds of a node's time that a call takes. A node that is never idle serves one call in that time, and
+        a node that is sometimes idle serves fewer calls, so the estimate from the highest rate errs high. What one
+        proxy of many observes is mostly the wait behind calls of the others; with that estimate a cold node was given
+        half of its budget."""
+        if not local.nodes or not local.work:
             return 0.0
-        passed, self.best_at = now - self.best_at, now
-        self.nodes = max(float(alone.nodes), self.nodes * exp(-passed / NODES_US))
-        self.best = max(fleet.served / self.nodes, self.best * exp(-passed / BEST_US))
-        return max(alone.work / CLOSER, min(alone.work, 1e6 / max(1e-6, self.best)))
-
-    def _part(self, now: int, own: Load, fleet: Load, count: int) -> float:
-        """By need, not by count: who has ten times the arrivals has ten times the slots, and the others have so much
-        fewer: parts that add up to more than one let those who need little crowd out those who need much. 0: an even
-        one."""
-        times = own.arrivals * count / max(fleet.arrivals, own.arrivals, 1e-9)
-        slowly = self._slowly(now, own.arrivals, max(fleet.arrivals, own.arrivals) / count)
-        if fleet.arrivals < FEW * count:
+        passed, self.best_rate_at = now - self.best_rate_at, now
+        self.serving_nodes = max(float(local.nodes), self.serving_nodes * exp(-passed / NODE_COUNT_MEMORY_US))
+        self.best_rate = max(
+            fleet.served / self.serving_nodes, self.best_rate * exp(-passed / BEST_RATE_MEMORY_US)
+        )
+        return max(local.work / MAX_WORK_REDUCTION, min(local.work, 1e6 / max(1e-6, self.best_rate)))
+
+    def _share(self, now: int, own: Load, fleet: Load, count: int) -> float:
+        """This proxy's share of the slots, by demand: a proxy with ten times the arrivals gets ten times the slots, and
+        the others correspondingly fewer. With shares that add up to more than one, proxies that need little would
+        crowd out those that need much. 0: an even share."""
+        factor = own.arrivals * count / max(fleet.arrivals, own.arrivals, 1e-9)
+        smoothed = self._smoothed_factor(now, own.arrivals, max(fleet.arrivals, own.arrivals) / count)
+        if fleet.arrivals < MIN_ARRIVALS_PER_S * count:
             return 0.0
-        times = (slowly if 1 / EVEN <= times <= EVEN else times) * self._trimmed(now, own, fleet)
-        return max(LEAST_TIMES / count, min(times / count, MOST_TIMES / count, 1.0))
-
-    def _trimmed(self, now: int, own: Load, fleet: Load) -> float:
-        """By how much more than its need a proxy may have, which has to refuse more of its callers than all do on
-        average, or less. Guards against high worth refused at one proxy while another takes low: few calls scatter
-        more, so that a small proxy's bound is wider for its need than a large one's."""
-        passed, self.trimmed_at = min(LOOK_MOST_US, now - self.trimmed_at), now
+        factor = (smoothed if 1 / EVEN_FACTOR <= factor <= EVEN_FACTOR else factor) * self._update_correction(
+            now, own, fleet
+        )
+        return max(MIN_SHARE_FACTOR / count, min(factor / count, MAX_SHARE_FACTOR / count, 1.0))
+
+    def _update_correction(self, now: int, own: Load, fleet: Load) -> float:
+        """The factor by which a proxy's share exceeds its demand if it refuses a larger part of its calls than the fleet
+        does, or falls below its demand if it refuses a smaller part. Without it one proxy refuses calls of high worth
+        while another accepts calls of low worth: few calls scatter more, so a small proxy's limit is wider for its
+        demand than a large one's."""
+        passed, self.corrected_at = min(MAX_STEP_US, now - self.corrected_at), now
         if fleet.refused < 1:
-            self.share_correction += (1 - self.share_correction) * passed / FORGET_US
+            self.share_correction += (1 - self.share_correction) * passed / CORRECTION_DECAY_US
             return self.share_correction
         gap = own.refused / max(1e-9, own.arrivals) - fleet.refused / max(1e-9, fleet.arrivals)
-        sure = own.arrivals / (own.arrivals + DOUBT / 3)
+        confidence = own.arrivals / (own.arrivals + PRIOR_ARRIVALS / 3)
         self.share_correction = max(
-            1 / TRIM,
-            min(TRIM, self.share_correction * exp(GAIN * sure * max(-1.0, min(1.0, gap)) * passed / 1e6)),
+            1 / MAX_CORRECTION,
+            min(
+                MAX_CORRECTION,
+                self.share_correction
+                * exp(CORRECTION_GAIN * confidence * max(-1.0, min(1.0, gap)) * passed / 1e6),
+            ),
         )
         return self.share_correction
 
-    def _slowly(self, now: int, own: float, mean: float) -> float:
-        """Our arrivals as a multiple of the mean, over a longer time, and the nearer to 1 the fewer they were."""
-        if now - self.looked > 2 * MAX_SUM_AGE_US:
-            self.began, self.slow, self.usual = now, own, mean
-        span = min(SLOW_US, max(1, now - self.began))
-        keep = exp((self.looked - now) / span) if self.looked else 0.0
-        self.looked = now
-        self.slow, self.usual = self.slow * keep + own * (1 - keep), self.usual * keep + mean * (1 - keep)
-        return (self.slow * span / 1e6 + DOUBT) / (self.usual * span / 1e6 + DOUBT)
-
-    def _bar(self, now: int, fleet: Load, names: list[str]) -> frozenset[int]:
-        """The nodes that this one is to leave alone: over the fleet they fail, and another is to try."""
+    def _smoothed_factor(self, now: int, own: float, mean: float) -> float:
+        """This proxy's arrivals as a multiple of the mean over SLOW_SPAN_US; the fewer they were, the nearer to 1."""
+        if now - self.smoothed_at > 2 * MAX_SUM_AGE_US:
+            self.smoothing_since, self.own_arrivals, self.mean_arrivals = now, own, mean
+        span = min(SLOW_SPAN_US, max(1, now - self.smoothing_since))
+        keep = exp((self.smoothed_at - now) / span) if self.smoothed_at else 0.0
+        self.smoothed_at = now
+        self.own_arrivals, self.mean_arrivals = (
+            self.own_arrivals * keep + own * (1 - keep),
+            self.mean_arrivals * keep + mean * (1 - keep),
+        )
+        return (self.own_arrivals * span / 1e6 + PRIOR_ARRIVALS) / (
+            self.mean_arrivals * span / 1e6 + PRIOR_ARRIVALS
+        )
+
+    def _avoid_nodes(self, now: int, fleet: Load, names: list[str]) -> frozenset[int]:
+        """The nodes that this proxy is to avoid: they fail over the whole fleet, and another proxy probes them."""
         failed = sum(node.failed for node in fleet.nodes.values())
         ended = failed + sum(node.served for node in fleet.nodes.values())
-        for number, node in fleet.nodes.items():
-            held, here = self.avoided_nodes.get(number), node.failed + node.served
-            if held and node.served > node.failed:
-                del self.avoided_nodes[number]  # whose turn it is has been served
-            elif held and node.failed:
-                held.heard = now
-            elif node.failed >= FAILED_LEAST and node.failed > FAILED_PART * here:
-                usual = (failed - node.failed) / max(1.0, ended - here)
-                if node.failed > 2 * usual * here:  # never where all are bad alike
-                    self.avoided_nodes[number] = Barred(now, now)
-        for number in [n for n, held in self.avoided_nodes.items() if now - held.heard > BARRED_MOST_US]:
-            del self.avoided_nodes[number]
+        for endpoint, node in fleet.nodes.items():
+            avoided, ended_here = self.avoided_nodes.get(endpoint), node.failed + node.served
+            if avoided and node.served > node.failed:
+                del self.avoided_nodes[endpoint]  # the proxy that probes the node has been served
+            elif avoided and node.failed:
+                avoided.last_failure_at = now
+            elif node.failed >= MIN_FAILED_CALLS and node.failed > MIN_FAILED_RATIO * ended_here:
+                elsewhere = (failed - node.failed) / max(1.0, ended - ended_here)
+                if node.failed > 2 * elsewhere * ended_here:  # not if all nodes are equally bad
+                    self.avoided_nodes[endpoint] = AvoidedNode(now, now)
+        for endpoint in [
+            n for n, avoided in self.avoided_nodes.items() if now - avoided.last_failure_at > MAX_AVOIDED_US
+        ]:
+            del self.avoided_nodes[endpoint]
         return frozenset(n for n in self.avoided_nodes if self.name not in probing_proxies(n, names))
 
-    def nodes_restarted(self, since: Mapping[int, int]) -> None:
-        """When nodes last started, as this proxy knows: one that has started since it failed is another one."""
-        for number in [n for n, held in self.avoided_nodes.items() if since.get(n, 0) > held.since]:
-            del self.avoided_nodes[number]
+    def nodes_restarted(self, started_at: Mapping[int, int]) -> None:
+        """`started_at`: when nodes last started, as far as this proxy knows. Failures from before a restart do not
+        count against the restarted node."""
+        for endpoint in [
+            n for n, avoided in self.avoided_nodes.items() if started_at.get(n, 0) > avoided.since
+        ]:
+            del self.avoided_nodes[endpoint]
 
 
 def probing_proxies(node: int, names: Collection[str]) -> list[str]:
-    """Who try this node for all: by rendezvous hash, so that a member more or less moves only what was its own."""
-    count = 1 + len(names) // TRIED_BY
+    """The proxies that probe this node for all others, by rendezvous hashing: a member that joins or leaves changes
+    only its own assignments."""
+    count = 1 + len(names) // PROXIES_PER_PROBER
     return nlargest(
         count, names, key=lambda name: blake2b(f"{node}\0{name}".encode(), digest_size=8).digest()
     )
