--- a/slatehub/decisions/fleet/policy.py
+++ b/slatehub/decisions/fleet/policy.py
@@ -166,10 +166,10 @@
         return max(MIN_SHARE_FACTOR / count, min(factor / count, MAX_SHARE_FACTOR / count, 1.0))
 
     def _update_correction(self, now: int, own: Load, fleet: Load) -> float:
-        """The factor by which a proxy's share exceeds its demand if it refuses a larger part of its calls than the fleet
-        does, or falls below its demand if it refuses a smaller part. Without it one proxy refuses calls of high worth
-        while another accepts calls of low worth: few calls scatter more, so a small proxy's limit is wider for its
-        demand than a large one's."""
+        """The factor by which a proxy's share exceeds its demand if it refuses a larger part of its calls than the
+        fleet does, or falls below its demand if it refuses a smaller part. Without it one proxy refuses calls of high
+        worth while another accepts calls of low worth: few calls scatter more, so a small proxy's limit is wider for
+        its demand than a large one's."""
         passed, self.corrected_at = min(MAX_STEP_US, now - self.corrected_at), now
         if fleet.refused < 1:
             self.share_correction += (1 - self.share_correction) * passed / CORRECTION_DECAY_US
--- a/slatehub/decisions/idempotency.py
+++ b/slatehub/decisions/idempotency.py
@@ -1,9 +1,10 @@
-"""What is written down of an order that must not run twice, and what a repeat of it is told. Pure: changes of one
-register each, see `copies`. It owns the form of that register. It must never let an order out that may have run, and
-never guess whether it has: `nodes/outcomes.py` says so.
+"""Records of requests that must not run twice, and the answer that a repeat of such a request gets. Pure: each change
+concerns one register of `slatehub.copies`. This module defines the form of the record. A request that may have run is
+never sent again; whether it has run is determined by `nodes/outcomes.py`, not here.
 
-The form follows the draft The Idempotency-Key HTTP Header Field (IETF, httpapi): the key is the caller's, the same key
-with another payload is an error, one that is in hand is a conflict, one that has ended is answered as before."""
+The form follows the IETF draft "The Idempotency-Key HTTP Header Field" (httpapi): the caller chooses the key, the same
+key with another payload is an error, a repeat of a request in progress is a conflict, a repeat of a completed request
+gets the recorded answer."""
 
 from __future__ import annotations
 
@@ -14,25 +15,26 @@
 import msgspec
 
 STATE_SENT, STATE_NEVER_RAN, STATE_COMPLETED = range(3)
-BODY_MOST = 480  # bytes of an answer that are kept
-WORD_MOST = 64  # characters of a name or type
+MAX_BODY_BYTES = 480  # longer answers are not kept
+MAX_FIELD_LENGTH = 64  # bytes of a name, characters of a content type
 FORMAT = 1
 
 
 class ClaimResult(Enum):
-    """What a claim came upon."""
+    """What a claim found in the register."""
 
-    MINE = "mine"  # it may be sent
-    REPLAYABLE = "same"  # it has run, and its answer is known
-    COMPLETED_WITHOUT_BODY = "ran"  # it has run, its answer was too long to be kept
-    DOUBT = "doubt"  # it was sent, nobody knows how it ended
-    KEY_REUSED = "other"  # the same key for another order
+    CLAIMED = "mine"  # the request may be sent
+    REPLAYABLE = "same"  # the request has run and its answer is known
+    COMPLETED_WITHOUT_BODY = "ran"  # the request has run; its answer was too long to be kept
+    DOUBT = "doubt"  # the request was sent; its outcome is unknown
+    KEY_REUSED = "other"  # the key belongs to another request
     UNREADABLE = "unreadable"  # written by a later version
 
 
 class IdempotencyRecord(msgspec.Struct, array_like=True, frozen=True):
-    """`token`: of the job that claimed it; `mark`: of what was asked for; `at_ms`: when the attempt was let out, or had
-    ended. A field is only ever added at the end, with a default."""
+    """`token`: of the job that claimed the key; `mark`: hash of the request's content; `at_ms`: when the attempt was
+    sent or had ended, milliseconds from the epoch; `kind`: content type of the answer. New fields are only added at the
+    end, with a default."""
 
     format: int
     state: int
@@ -53,89 +55,104 @@
 
 
 def register_key(tenant: str, key: str) -> bytes:
-    """The register of this key: one tenant's keys are nothing to another."""
+    """The register of this idempotency key. Keys of different tenants never share a register."""
     return blake2b(f"{tenant}\0{key}".encode(), digest_size=16).digest()
 
 
 def decode_idempotency_record(value: bytes) -> IdempotencyRecord | None:
-    """None where it is of a form that we do not know."""
+    """None if the value does not have a known form."""
     try:
-        entry = _decoder.decode(value)
+        record = _decoder.decode(value)
     except (msgspec.DecodeError, RecursionError):
         return None
-    return entry if entry.format == FORMAT and STATE_SENT <= entry.state <= STATE_COMPLETED else None
+    return record if record.format == FORMAT and STATE_SENT <= record.state <= STATE_COMPLETED else None
 
 
 @dataclass(slots=True)
 class ClaimIntent:
-    """Before an attempt: its intent is written, unless what stands there forbids it."""
+    """Register change before an attempt: writes the intent to send, unless the current value forbids it."""
 
-    entry: IdempotencyRecord
-    result: ClaimResult = ClaimResult.MINE
+    record: IdempotencyRecord
+    result: ClaimResult = ClaimResult.CLAIMED
     existing: IdempotencyRecord | None = None
 
     def __call__(self, value: bytes) -> bytes | None:
+        """The new value, None if the claim is rejected; sets `result` and `existing`."""
         self.existing = decode_idempotency_record(value) if value else None
-        self.result = self._finding(value)
-        return _encoder.encode(self.entry) if self.result is ClaimResult.MINE else None
+        self.result = self._check(value)
+        return _encoder.encode(self.record) if self.result is ClaimResult.CLAIMED else None
 
-    def _finding(self, value: bytes) -> ClaimResult:
-        found, mine = self.existing, self.entry
+    def _check(self, value: bytes) -> ClaimResult:
+        existing, wanted = self.existing, self.record
         if not value:
-            return ClaimResult.MINE
-        if found is None:
+            return ClaimResult.CLAIMED
+        if existing is None:
             return ClaimResult.UNREADABLE
-        if found.mark != mine.mark:
+        if existing.mark != wanted.mark:
             return ClaimResult.KEY_REUSED
-        if found.state == STATE_NEVER_RAN or found.token == mine.token:
-            return (
-                ClaimResult.MINE
-            )  # ours: an earlier attempt that never ran, or this one, written but not yet decided
-        return result_for_repeat(found)
+        if existing.state == STATE_NEVER_RAN or existing.token == wanted.token:
+            # The same token: an earlier attempt of this job that never ran, or this one, written but not yet decided.
+            return ClaimResult.CLAIMED
+        return result_for_repeat(existing)
 
 
-def result_for_repeat(entry: IdempotencyRecord) -> ClaimResult:
-    """What a repeat is told of an order that was let out."""
-    if entry.state == STATE_COMPLETED:
-        return ClaimResult.COMPLETED_WITHOUT_BODY if entry.body is None else ClaimResult.REPLAYABLE
-    return ClaimResult.DOUBT if entry.state == STATE_SENT else ClaimResult.MINE
+def result_for_repeat(record: IdempotencyRecord) -> ClaimResult:
+    """What a repeat of the recorded request gets."""
+    if record.state == STATE_COMPLETED:
+        return ClaimResult.COMPLETED_WITHOUT_BODY if record.body is None else ClaimResult.REPLAYABLE
+    return ClaimResult.DOUBT if record.state == STATE_SENT else ClaimResult.CLAIMED
 
 
 @dataclass(slots=True)
 class WriteOutcome:
-    """After an attempt. Only the job that let it out says so; where another has taken the register up since, nothing is
-    changed."""
+    """Register change after an attempt. Only the job that sent the request may write its outcome: if another job has
+    claimed the register since, nothing changes."""
 
-    entry: IdempotencyRecord
+    record: IdempotencyRecord
 
     def __call__(self, value: bytes) -> bytes | None:
+        """The new value, None if nothing is to be changed."""
         found = decode_idempotency_record(value) if value else None
-        mine = found is not None and found.token == self.entry.token and found.state != STATE_COMPLETED
-        return _encoder.encode(self.entry) if mine and found and found.attempt <= self.entry.attempt else None
+        own = found is not None and found.token == self.record.token and found.state != STATE_COMPLETED
+        return (
+            _encoder.encode(self.record) if own and found and found.attempt <= self.record.attempt else None
+        )
 
 
-def never_ran_record(entry: IdempotencyRecord, at_ms: int) -> IdempotencyRecord:
-    """Proven: it has not run and will not."""
-    return msgspec.structs.replace(entry, state=STATE_NEVER_RAN, at_ms=at_ms)
+def never_ran_record(record: IdempotencyRecord, at_ms: int) -> IdempotencyRecord:
+    """The record of a request that is proven not to have run and will not run."""
+    return msgspec.structs.replace(record, state=STATE_NEVER_RAN, at_ms=at_ms)
 
 
 def completed_record(
-    entry: IdempotencyRecord, at_ms: int, kind: str, body: bytes | None
+    record: IdempotencyRecord, at_ms: int, kind: str, body: bytes | None
 ) -> IdempotencyRecord:
-    """`body`: the node's answer, None where it was not whole or is too long."""
-    kept = body if body is not None and len(body) <= BODY_MOST and len(kind) <= WORD_MOST else None
+    """The record of a request that has run. `body`: the node's answer, None if it was incomplete or is too long."""
+    kept = (
+        body if body is not None and len(body) <= MAX_BODY_BYTES and len(kind) <= MAX_FIELD_LENGTH else None
+    )
     return msgspec.structs.replace(
-        entry, state=STATE_COMPLETED, at_ms=at_ms, kind=kind if kept is not None else "", body=kept
+        record, state=STATE_COMPLETED, at_ms=at_ms, kind=kind if kept is not None else "", body=kept
     )
 
 
 def intent_record(
     token: int, mark: int, request: str, cls: str, tenant: str, node: str, attempt: int, at_ms: int
 ) -> IdempotencyRecord:
+    """The record that is written before an attempt is sent; long names are cut."""
     return IdempotencyRecord(
-        FORMAT, STATE_SENT, token, mark, _cut(request), _cut(cls), _cut(tenant), _cut(node), attempt, at_ms
+        FORMAT,
+        STATE_SENT,
+        token,
+        mark,
+        _truncate(request),
+        _truncate(cls),
+        _truncate(tenant),
+        _truncate(node),
+        attempt,
+        at_ms,
     )
 
 
-def _cut(word: str) -> str:
-    return word.encode()[:WORD_MOST].decode("utf-8", "ignore")
+def _truncate(text: str) -> str:
+    return text.encode()[:MAX_FIELD_LENGTH].decode("utf-8", "ignore")
--- a/slatehub/decisions/maintenance_registers.py
+++ b/slatehub/decisions/maintenance_registers.py
@@ -1,5 +1,6 @@
-"""Nodes out by hand for a whole fleet: what stands in the registers that hold them, and how a call changes it. Pure. It
-owns their form. It must never forget that a node is out, and never hold more than a register takes."""
+"""Nodes in maintenance for a whole fleet: the form of the registers that hold them, and how an operator's call changes
+a register. Pure. A node in maintenance is never dropped from its register, and a value never exceeds what a register
+holds."""
 
 from __future__ import annotations
 
@@ -8,14 +9,17 @@
 
 import msgspec
 
-REGISTER_COUNT = 16  # registers: a value is short, and so holds some ids only
-MOST = 700  # bytes of a value
-BACK_MS = 600_000  # a return is remembered for so long: a node that came back is cold for a while
+REGISTER_COUNT = 16  # a value is short and holds only some ids, so the ids are spread over several registers
+MAX_VALUE_BYTES = 700
+ENDED_MEMORY_MS = (
+    600_000  # how long the end of a maintenance is kept: a node that came back is cold for a while
+)
 FORMAT = 1
 
 
 class NodesInMaintenance(msgspec.Struct, array_like=True, frozen=True):
-    """`version` grows with each change: who knows a higher one has newer news. Times in milliseconds from the epoch."""
+    """The value of a register. `version` grows with each change: a higher one is newer. `started_at`, `ended_at`: by
+    node id, milliseconds from the epoch."""
 
     format: int = FORMAT
     version: int = 0
@@ -28,15 +32,17 @@
 
 
 def register_number(ident: str) -> int:
+    """The number of the register that holds this node id."""
     return blake2b(ident.encode(), digest_size=1).digest()[0] % REGISTER_COUNT
 
 
 def register_key(number: int) -> bytes:
+    """The key of the register with this number."""
     return blake2b(b"nodes out by hand %d" % number, digest_size=16).digest()
 
 
 def decode_value(value: bytes) -> NodesInMaintenance | None:
-    """None where it is of a form that we do not know."""
+    """None if the value does not have a known form."""
     if not value:
         return NodesInMaintenance()
     try:
@@ -48,7 +54,8 @@
 
 @dataclass(slots=True)
 class SetNodeMaintenance:
-    """An operator's call. `error`: it cannot be done."""
+    """Register change for an operator's call: takes the node out, or puts it back. `error`: why it cannot be done, else
+    empty."""
 
     ident: str
     out: bool
@@ -56,32 +63,34 @@
     error: str = ""
 
     def __call__(self, value: bytes) -> bytes | None:
+        """The new value, None if the call cannot be done."""
         held = decode_value(value)
         if held is None:
             self.error = "what stands there was written by a later version"
             return None
         if (self.ident in held.started_at) == self.out:
-            return _encoder.encode(held)  # a set, no counter; written again, as it need not have been decided
-        out, back = (
+            # Nothing changes, but the value is written again, as it may not have been decided yet.
+            return _encoder.encode(held)
+        started_at, ended_at = (
             dict(held.started_at),
-            {k: at for k, at in held.ended_at.items() if self.at_ms - at < BACK_MS},
+            {k: at for k, at in held.ended_at.items() if self.at_ms - at < ENDED_MEMORY_MS},
         )
         if self.out:
-            out[self.ident] = self.at_ms
-            back.pop(self.ident, None)
+            started_at[self.ident] = self.at_ms
+            ended_at.pop(self.ident, None)
         else:
-            del out[self.ident]
-            back[self.ident] = self.at_ms
-        wanted = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, out, back))
-        while len(wanted) > MOST and back:
-            del back[min(back, key=lambda k: back[k])]
-            wanted = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, out, back))
-        if len(wanted) > MOST:
+            del started_at[self.ident]
+            ended_at[self.ident] = self.at_ms
+        new_value = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, started_at, ended_at))
+        while len(new_value) > MAX_VALUE_BYTES and ended_at:
+            del ended_at[min(ended_at, key=lambda k: ended_at[k])]
+            new_value = _encoder.encode(NodesInMaintenance(FORMAT, held.version + 1, started_at, ended_at))
+        if len(new_value) > MAX_VALUE_BYTES:
             self.error = "no room for another node out"
             return None
-        return wanted
+        return new_value
 
 
 def rewrite_unchanged(value: bytes) -> bytes | None:
-    """A read that is sure: what was found is decided by being written again."""
+    """Register change for a reliable read: writing the value again makes it decided."""
     return value or None
--- a/slatehub/decisions/resource_budget.py
+++ b/slatehub/decisions/resource_budget.py
@@ -1,19 +1,20 @@
-"""How what one process may hold is shared out between callers, nodes and bodies. Pure; its figures are measured."""
+"""Splits the descriptors and the memory of one process between callers, nodes and request bodies. Pure."""
 
-RESERVED_DESCRIPTORS = (
-    32  # descriptors for the log, the event loop, the listener, discovery and what is just closing
-)
-OWN_MB = 18  # the program itself with its nodes and its list, 14 MB as measured
-MANAGEMENT_DESCRIPTORS = 20  # the operators' listener, its connections, and those to a second process
-LINE_KB = 24  # a connection with its greenlets, its parser and nothing in hand, 20 KB as measured
+# Descriptors for the log, the event loop, the listener, discovery and connections being closed.
+RESERVED_DESCRIPTORS = 32
+PROGRAM_MB = 18  # the program itself with its nodes and its node list; it uses 14 MB
+# Descriptors for the operators' listener, its connections, and those to a second process.
+MANAGEMENT_DESCRIPTORS = 20
+CONNECTION_KB = 24  # a connection with its greenlets and its parser, without a job; it uses 20 KB
 
 
 def split_budget(sockets: int, memory_mb: int, own: int = RESERVED_DESCRIPTORS) -> tuple[int, int, int]:
-    """How many descriptors callers and nodes may have each, and how many bytes of requests may be in hand. Callers get
-    more, as the connections to nodes are used in turn; a third of all is what their requests may need at once, the rest
-    is for those who only keep one open. Three quarters of the memory that is left are for requests,
-    the rest for their answers, of which a large one is never held. `own`: descriptors of the program itself."""
+    """Returns the number of descriptors for callers, the number for nodes, and the bytes of requests that may be held.
+    Callers get more descriptors, as connections to nodes are shared by several jobs in turn. A third of all descriptors
+    is what the callers' requests may need at once; the rest is for callers that only keep a connection open. Three
+    quarters of the remaining memory are for requests, the rest is for their answers; large answers are never buffered.
+    `own`: descriptors of the program itself."""
     spare = sockets - own
     callers = spare * 3 // 5
-    free_kb = (memory_mb - OWN_MB) * 1024 - spare * LINE_KB
+    free_kb = (memory_mb - PROGRAM_MB) * 1024 - spare * CONNECTION_KB
     return callers, spare - callers, max(1024, free_kb * 3 // 4) * 1024
--- a/slatehub/decisions/shutdown.py
+++ b/slatehub/decisions/shutdown.py
@@ -1,40 +1,45 @@
-"""A planned stop that goes on serving: until when callers are let in, kept and answered, and when they are told to come
-back. Pure; the front and the desk ask it. It must never promise an answer for later than the process may live.
+"""The schedule of a planned shutdown during which the proxy goes on serving: until when callers are accepted, kept and
+answered, and when refused callers are told to come back. Pure; used by the front and the dispatcher. No answer is
+planned for a time when the process may have been killed.
 
-The platform (PROTOCOL, planned restarts): SIGKILL comes no sooner than the longest deadline (3 s where that is longer)
-and 0.7 s after SIGTERM, and the next start a second or more after that. New connections keep coming for 0.2 to 0.4 s;
-callers use those that they have for as long as these stay open. What comes later than 0.7 s after SIGTERM must be
-answered before SIGKILL. So a proxy that closes early leaves its callers with nobody for the rest of the time, and one
-that takes what it cannot finish loses it."""
+The platform (PROTOCOL, planned restarts): SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most,
+plus 0.7 s at the earliest, and the next start comes a second or more after that. New connections keep coming for 0.2 to
+0.4 s; callers reuse their connections for as long as these stay open. What comes later than 0.7 s after SIGTERM must be
+answered before SIGKILL. So a proxy that closes early leaves its callers without service for the rest of the time, and a
+proxy that accepts what it cannot finish loses it."""
 
 from __future__ import annotations
 
 from copy import copy
 
-MAX_DEADLINE_US = 3_000_000  # the longest deadline counts as no longer
-MORE_US = 700_000
-MARGIN_US = 150_000  # before SIGKILL, for the last answers and the end of the process
-PART_US = 800_000  # before the last answer, where siblings may take the callers over: some services' length
-BACK_US = 1_000_000  # from SIGKILL until the next start, where nobody has said
+MAX_DEADLINE_US = 3_000_000  # a longer deadline counts as this long
+KILL_DELAY_US = 700_000  # from the longest deadline until SIGKILL
+KILL_MARGIN_US = 150_000  # before SIGKILL, for the last answers and the end of the process
+MAX_DISCONNECT_LEAD_US = 800_000  # before the last answer, callers are let go to siblings: some service times
+RESTART_DELAY_US = 1_000_000  # from SIGKILL until the next start, if nothing else is known
 
 
 class ShutdownSchedule:
-    """`told`: when the process was told to end. `longest_us`: the longest deadline of a class. `siblings`: proxies that
-    callers could go to, this one included. `served_us`: how long a request usually takes (0: not known)."""
+    """`started_at`: when the process got SIGTERM. `longest_us`: the longest deadline of a class. `siblings`: number of
+    proxies that callers can use, this one included. `served_us`: how long a request usually takes (0: not known)."""
 
-    __slots__ = ("answer_by", "back_at", "disconnect_at", "told")
+    __slots__ = ("answer_by", "back_at", "disconnect_at", "started_at")
 
-    def __init__(self, told: int, longest_us: int, siblings: int = 1, served_us: float = 0) -> None:
-        kill_at = told + min(longest_us, MAX_DEADLINE_US) + MORE_US
-        self.told = told
-        self.answer_by = max(told, kill_at - MARGIN_US)
-        self.back_at = kill_at + BACK_US
-        # Siblings may be stopping too, and share nothing with us: callers are kept for as long as it does them good.
-        part_us = min(PART_US, max(PART_US / 4, 1.5 * served_us)) if siblings > 1 else 0
-        self.disconnect_at = max(told, int(self.answer_by - part_us))
+    def __init__(self, started_at: int, longest_us: int, siblings: int = 1, served_us: float = 0) -> None:
+        kill_at = started_at + min(longest_us, MAX_DEADLINE_US) + KILL_DELAY_US
+        self.started_at = started_at
+        self.answer_by = max(started_at, kill_at - KILL_MARGIN_US)
+        self.back_at = kill_at + RESTART_DELAY_US
+        # Siblings may be stopping, too, and share no state with this proxy: callers are kept as long as it helps them.
+        lead_us = (
+            min(MAX_DISCONNECT_LEAD_US, max(MAX_DISCONNECT_LEAD_US / 4, 1.5 * served_us))
+            if siblings > 1
+            else 0
+        )
+        self.disconnect_at = max(started_at, int(self.answer_by - lead_us))
 
     def shifted(self, by: int) -> ShutdownSchedule:
-        """The same on a clock that is so far ahead of this one."""
+        """The same schedule on a clock that is ahead of this one by `by` microseconds."""
         other = copy(self)
         for name in self.__slots__:
             setattr(other, name, getattr(self, name) + by)
@@ -45,7 +50,8 @@
         return min(deadline, self.answer_by)
 
     def disconnecting(self, now: int) -> bool:
-        """Whether callers should go: those that rest are closed, answers end their connection, no new ones come in."""
+        """Whether callers should leave: idle connections are closed, answers close their connection, and no new
+        connections are accepted."""
         return now >= self.disconnect_at
 
     def finished(self, now: int) -> bool:
@@ -53,6 +59,6 @@
         return now >= self.answer_by
 
     def back_us(self, now: int) -> int:
-        """When a caller who is refused now should come back: once the next process can be there. A parting proxy's
-        callers need not wait where siblings take them."""
+        """Microseconds after which a caller refused now should come back: when the next process can be there. Callers
+        that are disconnected while siblings can serve them need not wait."""
         return max(0, self.back_at - now)
--- a/slatehub/decisions/stall.py
+++ b/slatehub/decisions/stall.py
@@ -1,33 +1,37 @@
-"""How long what is read now may have waited unread: a process that stood still (stopped, starved of the processor, or
-only just started) finds in the kernel's queues what callers wrote meanwhile, and the time that they give counts from
-when they wrote it. Pure; whoever reads asks it. It must never take a pause that is nobody's for one: a late answer
-would be the worse mistake, and a short time the lesser."""
+"""Detects stalls of the process, to bound how long input may have waited unread: after a stall (stopped, starved of the
+processor, or just started) the process finds in the kernel's queues what callers wrote meanwhile, and the time limit
+that they give counts from when they wrote it. Pure; used by the code that reads requests. A pause that is not the
+process's own must not count as a stall. Within a stall the longest possible wait is used: an answer after the caller's
+deadline is worse than a deadline set too short."""
 
 from __future__ import annotations
 
-HEARTBEAT_INTERVAL_US = 100_000  # between two signs of life
-STALL_THRESHOLD_US = 250_000  # a longer silence is a stall
-STALL_READ_GRACE_US = 100_000  # what is read so soon after it may have come during it
+HEARTBEAT_INTERVAL_US = 100_000  # between two heartbeats
+STALL_THRESHOLD_US = 250_000  # a longer time without a heartbeat is a stall
+STALL_READ_GRACE_US = 100_000  # input read up to this long after a stall may have come during it
 
 
 class StallDetector:
-    """`began`: when the process began, microseconds. It is alive from its first beat on."""
+    """`started_at`: when the process started, microseconds. The time until the first heartbeat counts as a
+    stall if it is longer than STALL_THRESHOLD_US."""
 
-    def __init__(self, began: int) -> None:
-        self.last = began
-        self.start = self.until = began  # of the last stall
+    def __init__(self, started_at: int) -> None:
+        self.last_heartbeat_at = started_at
+        self.stall_started_at = self.stall_ended_at = started_at  # of the latest stall
 
     def heartbeat(self, now: int) -> None:
-        if now - self.last > STALL_THRESHOLD_US:
-            self.start, self.until = self.last, now
-        self.last = max(self.last, now)
+        """Records that the process runs at this time."""
+        if now - self.last_heartbeat_at > STALL_THRESHOLD_US:
+            self.stall_started_at, self.stall_ended_at = self.last_heartbeat_at, now
+        self.last_heartbeat_at = max(self.last_heartbeat_at, now)
 
     def max_unread_us(self, read_at: int) -> int:
-        """For how long, at the most, what was read then may have waited."""
-        if read_at - self.last > STALL_THRESHOLD_US:
-            return read_at - self.last
+        """The longest time, in microseconds, that input read at this time may have waited."""
+        if read_at - self.last_heartbeat_at > STALL_THRESHOLD_US:
+            return read_at - self.last_heartbeat_at
         return (
-            read_at - self.start
-            if self.start < self.until and self.start <= read_at <= self.until + STALL_READ_GRACE_US
+            read_at - self.stall_started_at
+            if self.stall_started_at < self.stall_ended_at
+            and self.stall_started_at <= read_at <= self.stall_ended_at + STALL_READ_GRACE_US
             else 0
         )
--- a/slatelab/model/proxy.py
+++ b/slatelab/model/proxy.py
@@ -103,7 +103,7 @@
         if isinstance(found, LocalResponse):
             return found.status
         cls, account, deadline = found
-        self.stall_detector.last = now  # on virtual time a process that runs is never late
+        self.stall_detector.last_heartbeat_at = now  # on virtual time a process that runs is never late
         deadline -= self.stall_detector.max_unread_us(now)
         if self.client_listener.shutdown:
             deadline = self.client_listener.shutdown.clamp_deadline(deadline - EPOCH_UNIX_US) + EPOCH_UNIX_US
@@ -215,7 +215,7 @@
         """SIGSTOP or SIGCONT."""
         now = self.clock.now + EPOCH_UNIX_US
         if begins:
-            self.stall_detector.last = now
+            self.stall_detector.last_heartbeat_at = now
             self.still.stop()
         else:
             self.stall_detector.heartbeat(now)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -25,17 +25,19 @@
 
 @given(st.lists(st.integers(0, 3 * SECOND), max_size=30))
 def test_no_wait_is_longer_than_the_silence_and_none_is_found_in_a_steady_beat(gaps: list[int]) -> None:
-    one, now = StallDetector(0), 0
+    detector, now = StallDetector(0), 0
     for gap in gaps:
         before, now = now, now + gap
-        assert one.max_unread_us(now) <= max(gap, one.until - one.start + STALL_READ_GRACE_US)
-        one.heartbeat(now)
-        assert (one.until == now and gap > 0) == (gap > STALL_THRESHOLD_US)
-        assert gap <= STALL_THRESHOLD_US or one.max_unread_us(now) == now - before
+        assert detector.max_unread_us(now) <= max(
+            gap, detector.stall_ended_at - detector.stall_started_at + STALL_READ_GRACE_US
+        )
+        detector.heartbeat(now)
+        assert (detector.stall_ended_at == now and gap > 0) == (gap > STALL_THRESHOLD_US)
+        assert gap <= STALL_THRESHOLD_US or detector.max_unread_us(now) == now - before
     for _ in range(10):
         now += HEARTBEAT_INTERVAL_US
-        one.heartbeat(now)
-    assert one.max_unread_us(now) == one.max_unread_us(now + HEARTBEAT_INTERVAL_US) == 0
+        detector.heartbeat(now)
+    assert detector.max_unread_us(now) == detector.max_unread_us(now + HEARTBEAT_INTERVAL_US) == 0
 
 
 def test_an_order_that_waited_out_its_time_before_a_stopped_process_is_refused_and_runs_nowhere(
