--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,5 +1,5 @@
-"""The table of faults against stages in docs/review-of-parts.md: every cell names a test that is there, or says why it
-cannot happen."""
+"""The table of faults against stages in docs/review-of-parts.md: every cell names an existing test, or the reason why
+the fault cannot occur at that stage."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 ]  # fmt: skip
 
 
-def faults(text: str) -> list[str]:
-    """What is wrong with the table."""
-    part = text.partition("## Faults against stages")[2].partition("\n## ")[0]
+def table_errors(text: str) -> list[str]:
+    """Returns the errors of the table."""
+    section = text.partition("## Faults against stages")[2].partition("\n## ")[0]
     rows = [
         [c.strip() for c in line.strip("|\n ").split("|")]
-        for line in part.splitlines()
+        for line in section.splitlines()
         if line.startswith("|")
     ]
-    wrong = [] if rows and rows[0] == ["fault", *STAGES] else ["the stages are not those of the program"]
-    wrong += [] if [row[0] for row in rows[2:]] == FAULTS else ["the faults are not all there"]
-    means = dict(re.findall(r"^- ([TN]\d+) (.+)$", part, re.M))
+    errors = [] if rows and rows[0] == ["fault", *STAGES] else ["the columns are not the stages of the proxy"]
+    errors += [] if [row[0] for row in rows[2:]] == FAULTS else ["the rows are not the expected faults"]
+    meanings = dict(re.findall(r"^- ([TN]\d+) (.+)$", section, re.M))
     for row in rows[2:]:
         for stage, cell in zip(STAGES, row[1:], strict=True):
             codes = cell.replace(",", " ").split()
-            if not codes or any(code not in means for code in codes):
-                wrong.append(f"{row[0]} at {stage}: {cell!r} names nothing")
-    for code, meaning in means.items():
+            if not codes or any(code not in meanings for code in codes):
+                errors.append(f"{row[0]} at {stage}: {cell!r} names no test and no reason")
+    for code, meaning in meanings.items():
         if code[0] == "T":
             file, _, name = meaning.split(" ")[0].strip("`").partition("::")
-            here = (ROOT / file).read_text() if (ROOT / file).is_file() else ""
-            if not name or not re.search(rf"^(def {re.escape(name)}\(|{re.escape(name)} = )", here, re.M):
-                wrong.append(f"{code}: there is no {file}::{name}")
-    return wrong
+            source = (ROOT / file).read_text() if (ROOT / file).is_file() else ""
+            if not name or not re.search(rf"^(def {re.escape(name)}\(|{re.escape(name)} = )", source, re.M):
+                errors.append(f"{code}: {file}::{name} does not exist")
+    return errors
 
 
 def test_every_cell_of_the_table_names_a_test_or_a_reason() -> None:
-    assert faults((ROOT / "docs" / "review-of-parts.md").read_text()) == []
+    assert table_errors((ROOT / "docs" / "review-of-parts.md").read_text()) == []
 
 
 @pytest.mark.parametrize(
@@ -53,6 +53,6 @@
         ("| peer slow |", "| peer quick |"), ("- N1 ", "- M1 "),
     ],
 )  # fmt: skip
-def test_a_cell_that_names_nothing_is_seen(old: str, new: str) -> None:
+def test_an_error_in_the_table_is_reported(old: str, new: str) -> None:
     text = (ROOT / "docs" / "review-of-parts.md").read_text()
-    assert old in text and faults(text.replace(old, new, 1))
+    assert old in text and table_errors(text.replace(old, new, 1))
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""What waits unread while a process stands still: its callers' time runs from when they wrote it."""
+"""Requests that wait unread while the process is stopped: their time limit counts from when the caller wrote them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @given(st.lists(st.integers(0, 3 * SECOND), max_size=30))
-def test_no_wait_is_longer_than_the_silence_and_none_is_found_in_a_steady_beat(gaps: list[int]) -> None:
+def test_the_wait_never_exceeds_the_stall_and_steady_heartbeats_are_no_stall(gaps: list[int]) -> None:
     detector, now = StallDetector(0), 0
     for gap in gaps:
         before, now = now, now + gap
@@ -40,21 +40,22 @@
     assert detector.max_unread_us(now) == detector.max_unread_us(now + HEARTBEAT_INTERVAL_US) == 0
 
 
-def test_an_order_that_waited_out_its_time_before_a_stopped_process_is_refused_and_runs_nowhere(
+def test_a_request_that_outlived_its_time_limit_in_a_stopped_process_is_refused_and_runs_nowhere(
     tmp_path: Path,
 ) -> None:
+    """The request is written while the process is stopped, and its 2 s are over when the process reads it."""
     with running_fleet(tmp_path, 1) as rig:
-        program = rig.programs["p0"]
-        assert program.request(build_request("ok", SAFE_CLASS))[0] == 200
-        seen = sum(len(node.requests) for node in rig.nodes)
-        os.kill(program.process.pid, signal.SIGSTOP)
-        found: list[int] = []
-        asked = build_request("ok", SAFE_CLASS, X_Timeout="2000m")
-        caller = threading.Thread(target=lambda: found.append(program.request(asked)[0]), daemon=True)
+        proxy = rig.programs["p0"]
+        assert proxy.request(build_request("ok", SAFE_CLASS))[0] == 200
+        requests_before = sum(len(node.requests) for node in rig.nodes)
+        os.kill(proxy.process.pid, signal.SIGSTOP)
+        statuses: list[int] = []
+        request = build_request("ok", SAFE_CLASS, X_Timeout="2000m")
+        caller = threading.Thread(target=lambda: statuses.append(proxy.request(request)[0]), daemon=True)
         caller.start()
         time.sleep(3)
-        os.kill(program.process.pid, signal.SIGCONT)
+        os.kill(proxy.process.pid, signal.SIGCONT)
         caller.join()
-        assert found == [503] and sum(len(node.requests) for node in rig.nodes) == seen
-        time.sleep(0.5)  # a stall is over soon: nothing that comes later is taken for old
-        assert program.request(build_request("ok", SAFE_CLASS, X_Timeout="2000m"))[0] == 200
+        assert statuses == [503] and sum(len(node.requests) for node in rig.nodes) == requests_before
+        time.sleep(0.5)  # the stall is over: later requests do not count as delayed
+        assert proxy.request(build_request("ok", SAFE_CLASS, X_Timeout="2000m"))[0] == 200
