--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,5 +1,6 @@
-"""Callers who go while they wait: no attempt of theirs begins any more, whatever hides their going, and all counts are
-right afterwards. Real connections and a real process; where the settings allow no withdrawal, too."""
+"""Callers that disconnect while they wait: no further attempt is started for them, whatever hides the disconnect, and
+all counts are right afterwards. Real connections and a real process, also with settings that do not allow
+cancellation."""
 
 from __future__ import annotations
 
@@ -26,30 +27,31 @@
     settings,
     wait_until,
 )
-from proxy_rig import build_request as any_order
+from proxy_rig import build_request as any_request
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
 
 
-def order(action: str, body: bytes = b"", **headers: str) -> bytes:
-    return any_order(action, body=body, X_Timeout="60000m", **headers)
+def request(action: str, body: bytes = b"", **headers: str) -> bytes:
+    return any_request(action, body=body, X_Timeout="60000m", **headers)
 
 
-def patient(aim_us: int = 60_000_000, **allowed: Any) -> dict[str, Any]:
-    """Settings under which nobody is refused for having waited long: who is let go here has been seen to go."""
+def patient_settings(aim_us: int = 60_000_000, **allowed: Any) -> dict[str, Any]:
+    """Settings under which no request is refused for its long wait, so a request that is dropped was dropped because
+    the proxy noticed its caller's disconnect."""
     found = settings(**allowed)
-    for kind in found["services"]:
-        kind.update(slo_us=aim_us, hard_limit_us=60_000_000)
+    for service in found["services"]:
+        service.update(slo_us=aim_us, hard_limit_us=60_000_000)
     return found
 
 
-def ids(p: ProxyRig) -> list[str]:
+def request_ids(p: ProxyRig) -> list[str]:
     return [header_value(head, "x-request-id") for head in p.seen]
 
 
-def held(p: ProxyRig) -> int:
-    """Sockets that the process holds: a caller that it has let go has none. (One that was reset is in no list of the
-    system's any more, but in this one until the program has closed it.)"""
+def open_sockets(p: ProxyRig) -> int:
+    """The number of open sockets of the process. It shows when the proxy has closed a caller's connection: a connection
+    that was reset is in no table of the system any more, but its descriptor stays until the proxy closes it."""
     count = 0
     for fd in Path(f"/proc/{p.program.process.pid}/fd").iterdir():
         with suppress(OSError):  # closed meanwhile
@@ -57,8 +59,8 @@
     return count
 
 
-def watched(p: ProxyRig) -> None:
-    """Waits until the connection to discovery is there to stay."""
+def wait_for_discovery(p: ProxyRig) -> None:
+    """Waits until the connection to discovery is open; it then stays open and no longer changes the socket count."""
     wait_until(lambda: any("since=" in call for call in list(p.discovery.requests)))
 
 
@@ -67,176 +69,177 @@
 
 
 def reset(conn: socket.socket) -> None:
-    conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     conn.close()
 
 
-def half(conn: socket.socket) -> None:
-    """Only its sending side: nothing tells this from a close, so it counts as gone."""
+def half_close(conn: socket.socket) -> None:
+    """Closes the sending side only: the proxy cannot tell this from a close, so it counts as a disconnect."""
     conn.shutdown(socket.SHUT_WR)
 
 
-WAYS = pytest.mark.parametrize("leave", [close, reset, half])
-BEHIND = {  # what else the caller has sent, which nobody reads while its first order waits
+EACH_DISCONNECT = pytest.mark.parametrize("disconnect", [close, reset, half_close])
+PIPELINED = {  # what else the caller has sent, unread while its first request waits
     "nothing": lambda: b"",
-    "one more order": lambda: order("ok"),
-    "many small orders": lambda: b"".join(order("ok") for _ in range(20)),
-    "a large order": lambda: order("ok") + order("ok", body=bytes(30_000)),
-    "half an order": lambda: order("ok", body=bytes(2_000))[:-1_000],
-    "what is no request": lambda: b"BAD\r\n\r\n",
-    "an order and what is none": lambda: order("ok") + order("ok") + b"BAD\r\n\r\n",
+    "one more request": lambda: request("ok"),
+    "many small requests": lambda: b"".join(request("ok") for _ in range(20)),
+    "a large request": lambda: request("ok") + request("ok", body=bytes(30_000)),
+    "half a request": lambda: request("ok", body=bytes(2_000))[:-1_000],
+    "an invalid request": lambda: b"BAD\r\n\r\n",
+    "a request and an invalid one": lambda: request("ok") + request("ok") + b"BAD\r\n\r\n",
 }
 
 
 @contextmanager
-def crowded(tmp: Path, **allowed: Any) -> Iterator[tuple[ProxyRig, Callable[[], None]]]:
-    """One node, which works on an order of ours and is given no second one before. The function lets it go on, and
-    checks that the next order is served as if nobody had been in between."""
-    with running_proxy(tmp, settings=patient(**allowed)) as p, ThreadPoolExecutor() as pool:
-        first = pool.submit(p.program.request, order("wait", X_Request_ID="first"))
+def busy_proxy(tmp: Path, **allowed: Any) -> Iterator[tuple[ProxyRig, Callable[[], None]]]:
+    """A proxy whose only node is busy with a first request and gets no second one before that has ended. The function
+    lets the node finish, and checks that the next request is served as if there had been none in between."""
+    with running_proxy(tmp, settings=patient_settings(**allowed)) as p, ThreadPoolExecutor() as pool:
+        first = pool.submit(p.program.request, request("wait", X_Request_ID="first"))
         assert p.nodes[0].held.acquire(timeout=20)
-        watched(p)
+        wait_for_discovery(p)
 
-        def go_on() -> None:
+        def finish() -> None:
             p.nodes[0].release.set()
             assert first.result(20)[0] == 200
-            assert p.program.request(order("ok", X_Request_ID="last"))[0] == 200
-            assert ids(p) == ["first", "last"]
+            assert p.program.request(request("ok", X_Request_ID="last"))[0] == 200
+            assert request_ids(p) == ["first", "last"]
 
-        yield p, go_on
+        yield p, finish
 
 
-@WAYS
-@pytest.mark.parametrize("behind", BEHIND)
-def test_who_has_gone_while_it_waited_is_not_sent_on(
-    tmp_path: Path, leave: Callable[[socket.socket], None], behind: str
+@EACH_DISCONNECT
+@pytest.mark.parametrize("pipelined", PIPELINED)
+def test_a_caller_that_disconnects_while_waiting_is_not_sent_on(
+    tmp_path: Path, disconnect: Callable[[socket.socket], None], pipelined: str
 ) -> None:
-    with crowded(tmp_path, may_cancel=False) as (p, go_on):
-        before = held(p)
+    with busy_proxy(tmp_path, may_cancel=False) as (p, finish):
+        before = open_sockets(p)
         conn = p.program.connect()
-        conn.sendall(order("ok") + BEHIND[behind]())
-        wait_until(lambda: held(p) > before)
-        leave(conn)
-        wait_until(lambda: held(p) == before)
-        go_on()
+        conn.sendall(request("ok") + PIPELINED[pipelined]())
+        wait_until(lambda: open_sockets(p) > before)
+        disconnect(conn)
+        wait_until(lambda: open_sockets(p) == before)
+        finish()
         conn.close()
 
 
-@pytest.mark.parametrize("leave", [close, half])
-def test_who_has_gone_before_anything_of_it_was_read_is_not_sent_on(
-    tmp_path: Path, leave: Callable[[socket.socket], None]
+@pytest.mark.parametrize("disconnect", [close, half_close])
+def test_a_caller_that_disconnects_before_it_was_read_is_not_sent_on(
+    tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
-    """The order and its caller's end are read in the same turn of the loop."""
-    with crowded(tmp_path, may_cancel=False) as (p, go_on):
-        before = held(p)
+    """The request and its caller's disconnect are read in the same iteration of the event loop."""
+    with busy_proxy(tmp_path, may_cancel=False) as (p, finish):
+        before = open_sockets(p)
         p.program.process.send_signal(signal.SIGSTOP)
-        crowd = [p.program.connect() for _ in range(20)]
-        for conn in crowd:
-            conn.sendall(order("ok"))
-            leave(conn)
+        conns = [p.program.connect() for _ in range(20)]
+        for conn in conns:
+            conn.sendall(request("ok"))
+            disconnect(conn)
         p.program.process.send_signal(signal.SIGCONT)
         assert (
             p.program.request(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 200
-        )  # came after all of them
-        wait_until(lambda: held(p) == before)
-        go_on()
-        for conn in crowd:
+        )  # accepted after all of the others
+        wait_until(lambda: open_sockets(p) == before)
+        finish()
+        for conn in conns:
             conn.close()
 
 
-def test_a_body_that_is_too_slow_does_not_hide_that_its_caller_goes(tmp_path: Path) -> None:
-    """Turned away as too slow behind an order that waits: nobody reads that connection any more."""
-    with crowded(tmp_path, may_cancel=False) as (p, go_on):
-        before = held(p)
+def test_a_slow_body_does_not_hide_that_its_caller_disconnects(tmp_path: Path) -> None:
+    """The second request is refused as too slow while the first one waits; the proxy no longer reads the connection."""
+    with busy_proxy(tmp_path, may_cancel=False) as (p, finish):
+        before = open_sockets(p)
         conn = p.program.connect()
-        conn.sendall(order("ok") + order("ok", body=bytes(100))[:-50])
-        wait_until(lambda: held(p) > before)
+        conn.sendall(request("ok") + request("ok", body=bytes(100))[:-50])
+        wait_until(lambda: open_sockets(p) > before)
         time.sleep(4.3)  # the limit for the rest of a request
         conn.close()
-        wait_until(lambda: held(p) == before)
-        go_on()
-
-
-def test_hundreds_who_go_at_once_leave_nothing_behind(tmp_path: Path) -> None:
-    with crowded(tmp_path) as (p, go_on):
-        before = held(p)
-        crowd = [p.program.connect() for _ in range(300)]
-        for i, conn in enumerate(crowd):
-            conn.sendall(order("ok") + (order("ok") + order("ok") if i % 2 else b""))
-        wait_until(lambda: held(p) == before + 300)
-        for i, conn in enumerate(crowd):
+        wait_until(lambda: open_sockets(p) == before)
+        finish()
+
+
+def test_hundreds_of_callers_that_disconnect_at_once_leave_no_sockets(tmp_path: Path) -> None:
+    with busy_proxy(tmp_path) as (p, finish):
+        before = open_sockets(p)
+        conns = [p.program.connect() for _ in range(300)]
+        for i, conn in enumerate(conns):
+            conn.sendall(request("ok") + (request("ok") + request("ok") if i % 2 else b""))
+        wait_until(lambda: open_sockets(p) == before + 300)
+        for i, conn in enumerate(conns):
             (reset if i % 3 else close)(conn)
-        wait_until(lambda: held(p) == before)
-        go_on()
+        wait_until(lambda: open_sockets(p) == before)
+        finish()
 
 
-def test_who_goes_between_two_attempts_gets_no_second_one(tmp_path: Path) -> None:
-    with running_proxy(tmp_path, settings=patient()) as p:
+def test_a_caller_that_disconnects_between_attempts_gets_no_second_attempt(tmp_path: Path) -> None:
+    with running_proxy(tmp_path, settings=patient_settings()) as p:
         node = p.nodes[0]
-        watched(p)
-        before = held(p)
+        wait_for_discovery(p)
+        before = open_sockets(p)
         conn = p.program.connect()
-        conn.sendall(order("full", X_Request_ID="turned-away"))
-        wait_until(lambda: node.requests)  # and now the proxy waits until it may ask this node again
+        conn.sendall(request("full", X_Request_ID="turned-away"))
+        wait_until(lambda: node.requests)  # now the proxy waits until it may retry at this node
         conn.close()
-        wait_until(lambda: held(p) <= before + 1)  # the connection to the node stays
-        # It would have gone first, as it had come first.
-        assert p.program.request(order("ok", X_Request_ID="last"))[0] == 200
-        assert ids(p) == ["turned-away", "last"]
+        wait_until(lambda: open_sockets(p) <= before + 1)  # the connection to the node stays open
+        # A retry would have been sent before this request, as its request came first.
+        assert p.program.request(request("ok", X_Request_ID="last"))[0] == 200
+        assert request_ids(p) == ["turned-away", "last"]
 
 
-class Slow(ScriptedNode):
-    """A node that takes no connection until `opens`: until then the system has one in its queue, and no place more."""
+class NotAcceptingNode(ScriptedNode):
+    """A node that accepts no connection until `release` is set: until then one connection fills the kernel's accept
+    queue, so that further handshakes do not complete."""
 
     def __init__(self) -> None:
-        self.shut = threading.Event()
+        self.initialized = threading.Event()
         super().__init__()
-        self.shut.set()
+        self.initialized.set()
 
     def _accept(self) -> None:
-        self.shut.wait()
+        self.initialized.wait()
         self.sock.listen(0)
-        self.crowd = [socket.create_connection(self.sock.getsockname())]
+        self.queued = [socket.create_connection(self.sock.getsockname())]
         self.release.wait(20)
         super()._accept()
 
 
 def connecting(p: ProxyRig, port: int) -> bool:
-    """Whether somebody's connection to this port is coming up."""
+    """Whether any handshake with this port is in progress (SYN_SENT)."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return any(row[2].endswith(f":{port:04X}") and row[3] == "02" for row in rows)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_who_goes_while_the_connection_to_a_node_comes_up_is_not_written_to_it(
+def test_a_caller_that_disconnects_during_the_node_handshake_is_not_sent_on(
     tmp_path: Path, may_cancel: bool
 ) -> None:
-    # A quarter of the aim is how long a withdrawn call is taken to occupy its node.
-    told = patient(8_000_000, may_cancel=may_cancel, connect_timeout_us=10_000_000)
-    with running_proxy(tmp_path, kind=Slow, settings=told) as p, ThreadPoolExecutor() as pool:
+    # A cancelled call counts as occupying its node for a quarter of the aim.
+    config = patient_settings(8_000_000, may_cancel=may_cancel, connect_timeout_us=10_000_000)
+    with running_proxy(tmp_path, kind=NotAcceptingNode, settings=config) as p, ThreadPoolExecutor() as pool:
         node = p.nodes[0]
-        assert isinstance(node, Slow)
-        wait_until(lambda: hasattr(node, "crowd"))
-        watched(p)
-        before = held(p)
+        assert isinstance(node, NotAcceptingNode)
+        wait_until(lambda: hasattr(node, "queued"))
+        wait_for_discovery(p)
+        before = open_sockets(p)
         conn = p.program.connect()
-        conn.sendall(order("ok", X_Request_ID="gone"))
+        conn.sendall(request("ok", X_Request_ID="gone"))
         wait_until(lambda: connecting(p, node.sock.getsockname()[1]))
         conn.close()
-        wait_until(lambda: held(p) <= before + 1)  # what comes up to the node may go on
+        wait_until(lambda: open_sockets(p) <= before + 1)  # the handshake with the node may go on
         node.release.set()
-        assert pool.submit(p.program.request, order("ok", X_Request_ID="last")).result(20)[0] == 200
+        assert pool.submit(p.program.request, request("ok", X_Request_ID="last")).result(20)[0] == 200
         wait_until(lambda: not connecting(p, node.sock.getsockname()[1]))
-        assert ids(p) == ["last"]
+        assert request_ids(p) == ["last"]
 
 
 def fill(conn: socket.socket) -> int:
-    """Orders, until neither side of the connection holds any more: what comes after them stays here, and so does the
-    caller's end."""
+    """Sends requests until the buffers of both sides are full: further data stays in the caller's send buffer, and so
+    does its FIN."""
     conn.setblocking(False)
     sent, idle = 0, 0
-    while idle < 20:  # the other side's share grows while it is used
-        piece = order("ok", body=bytes(30_000))
+    while idle < 20:  # the receive buffer of the other side grows while it is used
+        piece = request("ok", body=bytes(30_000))
         try:
             while piece:
                 done = conn.send(piece)
@@ -249,44 +252,45 @@
     return sent
 
 
-@pytest.mark.parametrize("leave", [close, half])
-def test_who_goes_behind_more_than_its_connection_holds_is_not_sent_on(
-    tmp_path: Path, leave: Callable[[socket.socket], None]
+@pytest.mark.parametrize("disconnect", [close, half_close])
+def test_a_caller_that_disconnects_behind_full_buffers_is_not_sent_on(
+    tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
-    with crowded(tmp_path, may_cancel=False) as (p, go_on):
-        before = held(p)
+    with busy_proxy(tmp_path, may_cancel=False) as (p, finish):
+        before = open_sockets(p)
         conn = p.program.connect()
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
-        conn.sendall(order("ok"))
-        wait_until(lambda: held(p) > before)
+        conn.sendall(request("ok"))
+        wait_until(lambda: open_sockets(p) > before)
         assert fill(conn) > 300_000
-        leave(conn)
-        wait_until(lambda: held(p) == before)
-        go_on()
+        disconnect(conn)
+        wait_until(lambda: open_sockets(p) == before)
+        finish()
         conn.close()
 
 
-def test_what_was_taken_ahead_of_its_turn_is_answered_in_order_and_bounded(tmp_path: Path) -> None:
-    """Each order behind one that waits gets its own answer; of all that callers send ahead only so much is held."""
-    few = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
+def test_pipelined_requests_are_answered_in_order_and_bounded(tmp_path: Path) -> None:
+    """Each request behind a waiting one gets its own answer; the proxy buffers a bounded amount of pipelined data."""
+    limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
     with (
-        running_proxy(tmp_path, settings=patient(may_cancel=False), limits=few) as p,
+        running_proxy(tmp_path, settings=patient_settings(may_cancel=False), limits=limits) as p,
         ThreadPoolExecutor() as pool,
     ):
-        first = pool.submit(p.program.request, order("wait"))
+        first = pool.submit(p.program.request, request("wait"))
         assert p.nodes[0].held.acquire(timeout=20)
-        crowd = [p.program.connect() for _ in range(12)]
+        conns = [p.program.connect() for _ in range(12)]
         bodies = [bytes([i]) * 30_000 for i in range(100)]
         sending = [
-            pool.submit(conn.sendall, b"".join(order("echo", body=body) for body in bodies)) for conn in crowd
+            pool.submit(conn.sendall, b"".join(request("echo", body=body) for body in bodies))
+            for conn in conns
         ]
-        time.sleep(0.5)  # what is not taken by now stays where it is
+        time.sleep(0.5)  # what has not been read by now stays unread
         memory = Path(f"/proc/{p.program.process.pid}/status").read_text()
         assert int(memory.partition("VmRSS:")[2].split()[0]) < 64 * 1024
         p.nodes[0].release.set()
         assert first.result(20)[0] == 200
         served = 0
-        for conn in crowd:
+        for conn in conns:
             for body in bodies:
                 status, _, got = read_response(conn)
                 assert (status, got) in ((200, body), (503, b"refused\n"))
@@ -296,8 +300,8 @@
         assert not [future.result(20) for future in sending if future.result(20)]
 
 
-class Sluggish(ScriptedNode):
-    """Takes a head, and the body only when it is let."""
+class SlowReadingNode(ScriptedNode):
+    """Reads the head of a request, and its body only after `release` is set."""
 
     def _serve(self, conn: socket.socket) -> None:
         with conn:
@@ -313,14 +317,14 @@
             self.respond(conn, head, b"")
 
 
-def test_who_goes_while_its_order_is_being_written_is_not_written_whole(tmp_path: Path) -> None:
-    with running_proxy(tmp_path, kind=Sluggish, settings=patient(may_cancel=False)) as p:
-        watched(p)
-        before = held(p)
+def test_a_request_whose_caller_disconnects_while_it_is_written_is_not_completed(tmp_path: Path) -> None:
+    with running_proxy(tmp_path, kind=SlowReadingNode, settings=patient_settings(may_cancel=False)) as p:
+        wait_for_discovery(p)
+        before = open_sockets(p)
         conn = p.program.connect()
-        conn.sendall(order("ok", body=bytes(12_000_000), X_Request_ID="gone"))
+        conn.sendall(request("ok", body=bytes(12_000_000), X_Request_ID="gone"))
         assert p.nodes[0].held.acquire(timeout=20)
         conn.close()
-        wait_until(lambda: held(p) <= before + 1)
+        wait_until(lambda: open_sockets(p) <= before + 1)
         p.nodes[0].release.set()
         assert p.nodes[0].disconnected.acquire(timeout=20) and not p.nodes[0].requests
