--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -105,7 +105,7 @@
     def make(place: PeerIdentity, now: int, rng: Random) -> Peer:
         peer, module = Peer(place, (KEY,), now, rng), Busy()
         share = peer.start_load_sharing(now, lambda: module, lambda _now, _news, _until: None)
-        share.meter.read = lambda now, module: load  # type: ignore[method-assign]
+        share.meter.read = lambda now, balancer: load  # type: ignore[method-assign]
         return peer
 
     ring = MembershipSimulation(1, make_peer=make)
