--- a/slatehub/core/dispatcher.py
+++ b/slatehub/core/dispatcher.py
@@ -246,7 +246,7 @@
         """The process has been asked to shut down. Open jobs must be answered by the end of the returned
         schedule; the front limits the deadlines of jobs that still arrive."""
         longest = max(kind.deadline_us for kind in self.settings.classes)
-        schedule = ShutdownSchedule(now, longest, self.settings.siblings, self.balancer.mean)
+        schedule = ShutdownSchedule(now, longest, self.settings.siblings, self.balancer.service_us)
         self.recovery.shutdown = schedule
         self.job_table.cap_deadlines(schedule.answer_by)
         return schedule
--- a/slatehub/decisions/fleet/meter.py
+++ b/slatehub/decisions/fleet/meter.py
@@ -24,15 +24,15 @@
     @property
     def ready(self) -> Sequence[Any]: ...
     @property
-    def set(self) -> Any: ...
+    def settings(self) -> Any: ...
 
-    used: float
+    mean_occupied_slots: float
     slots: float
     waiting: int
-    out_count: int
+    ejected_count: int
 
-    def work(self) -> float: ...
-    def expected(self, cls: int, /) -> float: ...
+    def uncrowded_work_us(self) -> float: ...
+    def expected_service_us(self, cls: int, /) -> float: ...
 
 
 class LoadMeter:
@@ -100,7 +100,7 @@
         decay = exp(-passed / OUTCOME_MEMORY_US)
         for endpoint, outcomes in list(self.outcomes.items()):
             server = balancer.servers.get(endpoint)
-            if server and server.ejected > now and not server.told:
+            if server and server.ejected_until > now and not server.ejected_by_peers:
                 # The failures for which a node was ejected count until it is tried again. Otherwise, when proxies with
                 # little traffic eject a node one after the other, each for two or three failures, the failures of one
                 # are forgotten before those of the next are reported.
@@ -111,7 +111,7 @@
                 del self.outcomes[endpoint]
         per_s = self.rates
         totals = (
-            per_s["arrivals"], per_s["sends"], per_s["further"], per_s["refused"], balancer.used,
+            per_s["arrivals"], per_s["sends"], per_s["further"], per_s["refused"], balancer.mean_occupied_slots,
             max(0.0, balancer.slots), float(balancer.waiting), per_s["served"],
         )  # fmt: skip
         classes = tuple((rates[0], rates[1]) for rates in self.class_rates[: self.classes])
@@ -121,7 +121,7 @@
         """The nodes that this proxy has recently used: a few, even if there are ten thousand."""
         found = {}
         for endpoint, (failed, served) in self.outcomes.items():
-            flights = float(balancer.servers[endpoint].flights)
+            flights = float(balancer.servers[endpoint].in_flight)
             found[endpoint] = NodeLoad(
                 flights, 1.0, min(failed, MAX_CALLS_PER_NODE), min(served, MAX_CALLS_PER_NODE)
             )
--- a/slatehub/fleet/load_sharing.py
+++ b/slatehub/fleet/load_sharing.py
@@ -42,8 +42,10 @@
     def observe_batch(self, now: int, events: list[Any], actions: list[Any]) -> None:
         self.meter.batch(now, events, actions)
         module = self.module()
-        if module.out_count or self.ejected:  # a node that we have found bad is news that cannot wait
-            ejected = frozenset(n for n, s in module.servers.items() if s.ejected > now and not s.told)
+        if module.ejected_count or self.ejected:  # a node that we have found bad is news that cannot wait
+            ejected = frozenset(
+                n for n, s in module.servers.items() if s.ejected_until > now and not s.ejected_by_peers
+            )
             if ejected - self.ejected:
                 self.aggregation.hurry(now)
             self.ejected = ejected
@@ -66,11 +68,13 @@
         if self.views.avoided_nodes:
             servers = self.module().servers
             self.views.nodes_restarted(
-                {n: servers[n].since for n in self.views.avoided_nodes if n in servers}
+                {n: servers[n].started_at for n in self.views.avoided_nodes if n in servers}
             )
         module = self.module()
-        values = tuple(c.worth / max(1.0, module.expected(i)) for i, c in enumerate(module.set.classes))
-        alone = LocalEstimate(len(module.ready) - module.out_count, module.work(), values)
+        values = tuple(
+            c.worth / max(1.0, module.expected_service_us(i)) for i, c in enumerate(module.settings.classes)
+        )
+        alone = LocalEstimate(len(module.ready) - module.ejected_count, module.uncrowded_work_us(), values)
         news = self.views.evaluate(now, self.load, sums.total, age, alive, alone)
         if news.alive or self.told.alive:
             self.hear(now, news, now + LASTS_US)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -223,8 +223,8 @@
                 assert answers[0].response.startswith(f"{name}/") and self.send_counts[name]
         assert all(not a.finished for a in self.in_flight)
         servers = self.dispatcher.balancer.servers.values()
-        assert all(s.flights >= 0 for s in servers) and self.dispatcher.balancer.inflight >= 0
-        assert self.dispatcher.balancer.waiting >= 0 and self.dispatcher.balancer.out_count >= 0
+        assert all(s.in_flight >= 0 for s in servers) and self.dispatcher.balancer.in_flight >= 0
+        assert self.dispatcher.balancer.waiting >= 0 and self.dispatcher.balancer.ejected_count >= 0
 
     def teardown(self) -> None:
         self.wait(5_000_000)
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -126,7 +126,8 @@
             )
             sent += [a for a in actions if isinstance(a, Send) and a.request != sent_request.request]
     assert (
-        all(s.flights >= 0 and module.limit(s) >= 1 for s in module.servers.values()) and module.inflight >= 0
+        all(s.in_flight >= 0 and module.concurrency_limit(s) >= 1 for s in module.servers.values())
+        and module.in_flight >= 0
     )
 
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -237,8 +237,8 @@
             and not self.dispatcher.job_table.by_request_id
             and not self.dispatcher.balancer.requests
         )
-        assert self.dispatcher.balancer.inflight == self.dispatcher.balancer.waiting == 0
-        assert all(s.flights == 0 for s in self.dispatcher.balancer.servers.values())
+        assert self.dispatcher.balancer.in_flight == self.dispatcher.balancer.waiting == 0
+        assert all(s.in_flight == 0 for s in self.dispatcher.balancer.servers.values())
 
 
 @hypo(derandomize=True, database=None, deadline=None, max_examples=120)
