--- a/slatehub/copies/__init__.py
+++ b/slatehub/copies/__init__.py
@@ -1,2 +1,2 @@
-"""Promises on a majority of machines: registers that a group of proxies keeps together. Loaded only where `[copies]` is
-on."""
+"""Registers that a group of proxies replicates with CASPaxos, for the idempotency ledger and fleet-wide maintenance.
+Loaded only where `[copies]` is on."""
--- a/slatehub/copies/catchup.py
+++ b/slatehub/copies/catchup.py
@@ -1,7 +1,9 @@
-"""How a voter comes by what the others hold: parts of two stores compared by their hashes, then keys, then only what
-differs, one question at a time. Pure. It owns when a newcomer has all that counts. It must never call a newcomer caught
-up before it has walked a majority of those who voted before it, each of them already in the group that knows it: from
-then on nothing is decided without a majority of both (see `reconfiguration`)."""
+"""Anti-entropy between voters: the key ranges of two stores are compared by digest, then by keys, and only differing
+registers are fetched, with one request at a time. Pure.
+
+This module decides when a joining voter has caught up: after it has synchronized with a majority of the previous
+voters, each of which already knows the joint configuration. From then on nothing is decided without a majority of both
+the old and the new voters (see `reconfiguration`)."""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 from .acceptor import bucket
 from .messages import (
     DIGEST_RANGES,
-    KEYS_MOST,
+    MAX_KEYS_PER_MESSAGE,
     ConfigRequest,
     ConfigResponse,
     KeysRequest,
@@ -22,254 +24,266 @@
     StatesResponse,
     Voter,
 )
-from .reconfiguration import all_voters, enough_old, joining_voters
+from .reconfiguration import all_voters, is_old_majority, joining_voters
 
 if TYPE_CHECKING:
     from .replica import Replica
 
 RESEND_US = 200_000
-GIVE_UP_US = 5_000_000  # without an answer: begun anew, with another where there is one
-PACE_US = 1_000  # between two questions of one walk
-ROOM = 900  # bytes of rows in one message
-SECOND = 1_000_000
+SESSION_TIMEOUT_US = 5_000_000  # without a reply: the session ends, and a new one may choose another voter
+REQUEST_INTERVAL_US = 1_000  # between two requests of a session
+MAX_STATES_BYTES = 900  # bytes of register states in one message
+SECOND = 1_000_000  # microseconds
 
 
 @dataclass(slots=True)
-class Walk:
-    """Through one other voter's store."""
+class SyncSession:
+    """Fetches from one other voter the registers that this store lacks or holds in an older state."""
 
     source: Voter
-    next: int  # when its question is asked again
-    state: str = "digests"  # digests, keys, rows, over
+    next_send: int  # time of the next request or resend
+    phase: str = "digests"  # digests, keys, rows
     buckets: list[int] = field(default_factory=list)
     bucket: int = 0
     after: bytes = b""
     wanted: list[bytes] = field(default_factory=list)
     last: bool = False
-    rows: int = 0
-    moved: int = 0  # when an answer last came
+    states: int = 0  # registers fetched so far
+    last_reply: int = 0
 
 
 class CatchUp:
-    def __init__(self, copies: Replica) -> None:
-        self.copies = copies
-        self.walks: dict[str, Walk] = {}
-        self.walked: set[Voter] = set()  # of those who voted before us
-        self.mark = 0  # the record that says we have caught up; 0: not written yet
-        self.next_settle = 0
-        self.repaired_count = 0  # registers mended from another voter, or brought up to date
+    """The anti-entropy sessions of one replica: catch-up after joining, and periodic repair."""
+
+    def __init__(self, replica: Replica) -> None:
+        self.replica = replica
+        self.sessions: dict[str, SyncSession] = {}
+        self.synced_voters: set[Voter] = set()  # previous voters whose sessions are complete
+        self.caught_up_index = 0  # index of the log record CaughtUp; 0: not written yet
+        self.next_finalize = 0
+        self.repaired_count = 0  # registers fetched because they were missing or outdated
 
     @property
     def is_catching_up(self) -> bool:
-        """Whether we are to vote and may not say so yet."""
-        copies = self.copies
+        """Whether this replica is a joining voter that has not caught up yet."""
+        replica = self.replica
         return (
-            copies.self_voter in joining_voters(copies.config)
-            and copies.caught_up_epoch < copies.config.epoch
+            replica.self_voter in joining_voters(replica.config)
+            and replica.caught_up_epoch < replica.config.epoch
         )
 
-    def began(self, now: int) -> None:
-        """The group has changed."""
-        self.walks.clear()
-        self.walked.clear()
-        self.mark = 0
+    def config_changed(self, now: int) -> None:
+        """Starts over after a change of the group configuration."""
+        self.sessions.clear()
+        self.synced_voters.clear()
+        self.caught_up_index = 0
         if self.is_catching_up:
-            self._walk_all(now)
+            self._start_sessions(now)
 
-    def _walk_all(self, now: int) -> None:
-        copies = self.copies
-        for voter in copies.config.old_voters:
+    def _start_sessions(self, now: int) -> None:
+        replica = self.replica
+        for voter in replica.config.old_voters:
             if (
-                voter not in self.walked
-                and voter.name not in self.walks
-                and voter.name != copies.self_voter.name
+                voter not in self.synced_voters
+                and voter.name not in self.sessions
+                and voter.name != replica.self_voter.name
             ):
-                self._walk(now, voter)
+                self._start_session(now, voter)
 
-    def _walk(self, now: int, voter: Voter) -> None:
-        walk = self.walks[voter.name] = Walk(voter, now, moved=now)
-        self._ask(now, walk)
+    def _start_session(self, now: int, voter: Voter) -> None:
+        session = self.sessions[voter.name] = SyncSession(voter, now, last_reply=now)
+        self._send_request(now, session)
 
     # ------------------------------------------------------------ time
 
-    def due(self) -> list[int]:
-        times = [walk.next for walk in self.walks.values()]
-        if self.is_catching_up or self._settling:
-            times.append(self.next_settle)
+    def deadlines(self) -> list[int]:
+        """The times, in microseconds, at which `advance` has something to do."""
+        times = [session.next_send for session in self.sessions.values()]
+        if self.is_catching_up or self._can_finalize:
+            times.append(self.next_finalize)
         return times
 
     @property
-    def _settling(self) -> bool:
-        copies = self.copies
-        caught = (
-            copies.self_voter in joining_voters(copies.config)
-            and copies.caught_up_epoch == copies.config.epoch
+    def _can_finalize(self) -> bool:
+        replica = self.replica
+        caught_up = (
+            replica.self_voter in joining_voters(replica.config)
+            and replica.caught_up_epoch == replica.config.epoch
         )
-        idle = copies.is_voter and copies.config.old_voters and not joining_voters(copies.config)
-        return bool(caught or idle)
+        nobody_joins = replica.is_voter and replica.config.old_voters and not joining_voters(replica.config)
+        return bool(caught_up or nobody_joins)
 
     def advance(self, now: int) -> None:
-        copies = self.copies
-        for walk in list(self.walks.values()):
-            if now - walk.moved > GIVE_UP_US:
-                del self.walks[walk.source.name]
-            elif walk.next <= now:
-                self._ask(now, walk)
-        if self.next_settle <= now:
-            self.next_settle = now + RESEND_US + int(RESEND_US * copies.rng.random())
+        """Does all that is due: resends requests, ends sessions without replies, and starts new ones."""
+        replica = self.replica
+        for session in list(self.sessions.values()):
+            if now - session.last_reply > SESSION_TIMEOUT_US:
+                del self.sessions[session.source.name]
+            elif session.next_send <= now:
+                self._send_request(now, session)
+        if self.next_finalize <= now:
+            self.next_finalize = now + RESEND_US + int(RESEND_US * replica.rng.random())
             if self.is_catching_up:
-                self._walk_all(now)
-            elif self._settling:
-                copies.settle(now)
-        if copies.is_voter and copies.next_repair <= now:
-            copies.next_repair = now + int(copies.terms.repair * (0.5 + copies.rng.random()))
+                self._start_sessions(now)
+            elif self._can_finalize:
+                replica.finalize_config(now)
+        if replica.is_voter and replica.next_repair <= now:
+            replica.next_repair = now + int(replica.timings.repair_us * (0.5 + replica.rng.random()))
             others = [
                 v
-                for v in all_voters(copies.config)
-                if v.name != copies.self_voter.name and v.name not in copies.unresponsive
+                for v in all_voters(replica.config)
+                if v.name != replica.self_voter.name and v.name not in replica.unresponsive
             ]
-            if others and not self.walks and not self.is_catching_up and not copies.store_failure:
-                self._walk(now, copies.rng.choice(others))
-
-    def _ask(self, now: int, walk: Walk) -> None:
-        walk.next = now + RESEND_US
-        copies, name = self.copies, walk.source.name
-        if walk.state == "digests":
-            copies._send(name, RangeDigests(copies.config.epoch, True, [0] * DIGEST_RANGES))
-        elif walk.state == "keys":
-            copies._send(name, KeysRequest(copies.config.epoch, walk.bucket, walk.after))
+            if others and not self.sessions and not self.is_catching_up and not replica.store_failure:
+                self._start_session(now, replica.rng.choice(others))
+
+    def _send_request(self, now: int, session: SyncSession) -> None:
+        session.next_send = now + RESEND_US
+        replica, name = self.replica, session.source.name
+        if session.phase == "digests":
+            replica._send(name, RangeDigests(replica.config.epoch, True, [0] * DIGEST_RANGES))
+        elif session.phase == "keys":
+            replica._send(name, KeysRequest(replica.config.epoch, session.bucket, session.after))
         else:
-            copies._send(name, StatesRequest(walk.wanted[:KEYS_MOST]))
+            replica._send(name, StatesRequest(session.wanted[:MAX_KEYS_PER_MESSAGE]))
 
-    # ------------------------------------------------------------ asked
+    # ------------------------------------------------------------ messages
 
-    def heard(
+    def receive(
         self,
         now: int,
         voter: Voter,
-        item: RangeDigests | KeysRequest | KeysResponse | StatesRequest | StatesResponse,
+        message: RangeDigests | KeysRequest | KeysResponse | StatesRequest | StatesResponse,
     ) -> None:
-        if isinstance(item, (KeysRequest, StatesRequest)) or (
-            isinstance(item, RangeDigests) and item.reply_wanted
+        """Handles an anti-entropy message of another voter."""
+        if isinstance(message, (KeysRequest, StatesRequest)) or (
+            isinstance(message, RangeDigests) and message.reply_wanted
         ):
-            self._answer(voter, item)
+            self._reply(voter, message)
             return
-        walk = self.walks.get(voter.name)
-        if walk is None or walk.source != voter or isinstance(item, (StatesRequest, KeysRequest)):
+        session = self.sessions.get(voter.name)
+        if session is None or session.source != voter or isinstance(message, (StatesRequest, KeysRequest)):
             return
-        if isinstance(item, (RangeDigests, KeysResponse)) and item.epoch < self.copies.config.epoch:
-            self.copies._send(
-                voter.name, ConfigResponse(self.copies.config)
-            )  # what it lists may still change without us
+        if isinstance(message, (RangeDigests, KeysResponse)) and message.epoch < self.replica.config.epoch:
+            # While the other voter does not know this configuration, its registers may change without this voter.
+            self.replica._send(voter.name, ConfigResponse(self.replica.config))
             return
-        if isinstance(item, (RangeDigests, KeysResponse)) and item.epoch > self.copies.config.epoch:
-            self.copies._send(voter.name, ConfigRequest(self.copies.config.epoch, False))
-        walk.moved = now
-        if isinstance(item, RangeDigests):
-            self._compared(now, walk, item)
-        elif isinstance(item, KeysResponse):
-            self._listed(now, walk, item)
+        if isinstance(message, (RangeDigests, KeysResponse)) and message.epoch > self.replica.config.epoch:
+            self.replica._send(voter.name, ConfigRequest(self.replica.config.epoch, False))
+        session.last_reply = now
+        if isinstance(message, RangeDigests):
+            self._handle_digests(now, session, message)
+        elif isinstance(message, KeysResponse):
+            self._handle_keys(now, session, message)
         else:
-            self._fetched(now, walk, item)
-
-    def _answer(self, voter: Voter, item: RangeDigests | KeysRequest | StatesRequest) -> None:
-        copies = self.copies
-        if copies.store_failure or not copies.is_voter or copies.config_mark > copies.durable_index:
-            return  # not durable: after a restart we might decide in the group of before once more
-        epoch = copies.config.epoch
-        if item.__class__ is not StatesRequest and item.epoch > epoch:  # type: ignore[union-attr]
-            copies._send(
-                voter.name, ConfigRequest(epoch, False)
-            )  # the group has changed, and we have not heard of it
+            self._handle_states(now, session, message)
+
+    def _reply(self, voter: Voter, message: RangeDigests | KeysRequest | StatesRequest) -> None:
+        replica = self.replica
+        if replica.store_failure or not replica.is_voter or replica.config_index > replica.durable_index:
+            return  # not durable yet: after a restart this voter could still vote in the previous configuration
+        epoch = replica.config.epoch
+        if message.__class__ is not StatesRequest and message.epoch > epoch:  # type: ignore[union-attr]
+            # The other voter has a newer configuration.
+            replica._send(voter.name, ConfigRequest(epoch, False))
             return
-        if isinstance(item, RangeDigests):
-            copies._send(voter.name, RangeDigests(epoch, False, copies.acceptor.range_digests))
-        elif isinstance(item, KeysRequest):
-            listed = copies.acceptor.keys(item.bucket, item.after, KEYS_MOST + 1)
-            rows = [(key, row.ballot) for key in listed[:KEYS_MOST] if (row := copies.acceptor.get(key))]
-            copies._send(
-                voter.name, KeysResponse(epoch, item.bucket, item.after, rows, len(listed) <= KEYS_MOST)
+        if isinstance(message, RangeDigests):
+            replica._send(voter.name, RangeDigests(epoch, False, replica.acceptor.range_digests))
+        elif isinstance(message, KeysRequest):
+            listed = replica.acceptor.keys(message.bucket, message.after, MAX_KEYS_PER_MESSAGE + 1)
+            versions = [
+                (key, state.ballot)
+                for key in listed[:MAX_KEYS_PER_MESSAGE]
+                if (state := replica.acceptor.get(key))
+            ]
+            replica._send(
+                voter.name,
+                KeysResponse(
+                    epoch, message.bucket, message.after, versions, len(listed) <= MAX_KEYS_PER_MESSAGE
+                ),
             )
         else:
-            self._hand_out(voter, item)
-
-    def _hand_out(self, voter: Voter, item: StatesRequest) -> None:
-        rows: list[RegisterState] = []
-        gone: list[bytes] = []
-        room = ROOM
-        for key in item.keys:
-            row = self.copies.acceptor.get(key)
-            if row is None:
-                gone.append(key)
+            self._send_states(voter, message)
+
+    def _send_states(self, voter: Voter, message: StatesRequest) -> None:
+        states: list[RegisterState] = []
+        missing: list[bytes] = []
+        room = MAX_STATES_BYTES
+        for key in message.keys:
+            state = self.replica.acceptor.get(key)
+            if state is None:
+                missing.append(key)
                 continue
-            room -= len(row.value) + 50
-            if room < 0 and rows:
+            room -= len(state.value) + 50
+            if room < 0 and states:
                 break
-            rows.append(row)
-        self.copies._send(voter.name, StatesResponse(rows, gone))
+            states.append(state)
+        self.replica._send(voter.name, StatesResponse(states, missing))
 
-    # ------------------------------------------------------------ answered
+    # ------------------------------------------------------------ replies
 
-    def _compared(self, now: int, walk: Walk, item: RangeDigests) -> None:
-        if walk.state != "digests":
+    def _handle_digests(self, now: int, session: SyncSession, message: RangeDigests) -> None:
+        if session.phase != "digests":
             return
-        ours = self.copies.acceptor.range_digests
-        walk.buckets = [i for i in range(DIGEST_RANGES) if ours[i] != item.digests[i]]
-        self._on(now, walk)
-
-    def _on(self, now: int, walk: Walk) -> None:
-        """To the next part that differs."""
-        if not walk.buckets:
-            self._over(now, walk)
+        ours = self.replica.acceptor.range_digests
+        session.buckets = [i for i in range(DIGEST_RANGES) if ours[i] != message.digests[i]]
+        self._next_bucket(now, session)
+
+    def _next_bucket(self, now: int, session: SyncSession) -> None:
+        """Continues with the next key range that differs."""
+        if not session.buckets:
+            self._finish(now, session)
             return
-        walk.bucket, walk.after, walk.state = walk.buckets.pop(), b"", "keys"
-        walk.next = now + PACE_US
+        session.bucket, session.after, session.phase = session.buckets.pop(), b"", "keys"
+        session.next_send = now + REQUEST_INTERVAL_US
 
-    def _listed(self, now: int, walk: Walk, item: KeysResponse) -> None:
-        if walk.state != "keys" or item.bucket != walk.bucket or item.after != walk.after:
+    def _handle_keys(self, now: int, session: SyncSession, message: KeysResponse) -> None:
+        if session.phase != "keys" or message.bucket != session.bucket or message.after != session.after:
             return
-        held = self.copies.acceptor.get
-        walk.wanted = [k for k, ballot in item.versions if (row := held(k)) is None or row.ballot < ballot]
-        walk.after = item.versions[-1][0] if item.versions else walk.after
-        walk.last = item.last or not item.versions
-        self._fetch(now, walk)
-
-    def _fetch(self, now: int, walk: Walk) -> None:
-        walk.next = now + PACE_US
-        if walk.wanted:
-            walk.state = "rows"
-        elif walk.last:
-            self._on(now, walk)
+        local_state = self.replica.acceptor.get
+        session.wanted = [
+            k for k, ballot in message.versions if (state := local_state(k)) is None or state.ballot < ballot
+        ]
+        session.after = message.versions[-1][0] if message.versions else session.after
+        session.last = message.last or not message.versions
+        self._fetch_or_advance(now, session)
+
+    def _fetch_or_advance(self, now: int, session: SyncSession) -> None:
+        session.next_send = now + REQUEST_INTERVAL_US
+        if session.wanted:
+            session.phase = "rows"
+        elif session.last:
+            self._next_bucket(now, session)
         else:
-            walk.state = "keys"
+            session.phase = "keys"
 
-    def _fetched(self, now: int, walk: Walk, item: StatesResponse) -> None:
-        if walk.state != "rows":
+    def _handle_states(self, now: int, session: SyncSession, message: StatesResponse) -> None:
+        if session.phase != "rows":
             return
-        wanted, got = set(walk.wanted), set(item.missing)
-        for row in item.states:
-            if row.key in wanted and bucket(row.key) == walk.bucket:
-                self.copies.acceptor.merge(row, now // SECOND)
-                got.add(row.key)
-                walk.rows += 1
-        walk.wanted = [key for key in walk.wanted if key not in got]
-        self._fetch(now, walk)
-
-    def _over(self, now: int, walk: Walk) -> None:
-        copies = self.copies
-        del self.walks[walk.source.name]
-        self.repaired_count += walk.rows
-        if walk.rows and not self.is_catching_up:
-            copies.log_lines.append(f"took {walk.rows} registers from {walk.source.name}")
-        if not self.is_catching_up or walk.source not in copies.config.old_voters:
+        wanted, done = set(session.wanted), set(message.missing)
+        for state in message.states:
+            if state.key in wanted and bucket(state.key) == session.bucket:
+                self.replica.acceptor.merge(state, now // SECOND)
+                done.add(state.key)
+                session.states += 1
+        session.wanted = [key for key in session.wanted if key not in done]
+        self._fetch_or_advance(now, session)
+
+    def _finish(self, now: int, session: SyncSession) -> None:
+        replica = self.replica
+        del self.sessions[session.source.name]
+        self.repaired_count += session.states
+        if session.states and not self.is_catching_up:
+            replica.log_lines.append(f"fetched {session.states} registers from {session.source.name}")
+        if not self.is_catching_up or session.source not in replica.config.old_voters:
             return
-        self.walked.add(walk.source)
-        if enough_old(copies.config, self.walked) and not self.mark:
-            self.mark = copies.write_caught()
-
-    def persisted(self, now: int, durable: int) -> None:
-        """All that was taken over is durable once the record behind it is."""
-        if self.mark and self.mark <= durable and self.is_catching_up:
-            self.copies.has_caught_up()
-            self.mark = 0
-            self.copies.settle(now)
+        self.synced_voters.add(session.source)
+        if is_old_majority(replica.config, self.synced_voters) and not self.caught_up_index:
+            self.caught_up_index = replica.append_caught_up()
+
+    def mark_durable(self, now: int, durable_index: int) -> None:
+        """Completes the catch-up: the fetched registers are durable once the CaughtUp record after them is."""
+        if self.caught_up_index and self.caught_up_index <= durable_index and self.is_catching_up:
+            self.replica.mark_caught_up()
+            self.caught_up_index = 0
+            self.replica.finalize_config(now)
--- a/slatehub/copies/driver.py
+++ b/slatehub/copies/driver.py
@@ -1,6 +1,6 @@
-"""Drives one proxy's end of the group in the daemon: the folder, one thread that writes, the fleet's link, one alarm.
-It owns the thread and the order in which records go to disk. It must never decide, never let the hub wait for a disk,
-and never say that a record is durable before the log has."""
+"""Runs the replica of one proxy in the daemon, with the store folder, one writer thread, the fleet link and one timer.
+The driver keeps the order of log records on their way to disk. It makes no decisions of its own, never blocks the
+gevent hub on disk I/O, and reports a record as durable only after the write-ahead log has synced it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 import gevent
-from gevent.event import Event as Bell
+from gevent.event import Event
 from gevent.threadpool import ThreadPool
 
 from ..drivers.clock import Timer, clock
@@ -19,75 +19,88 @@
 from ..settings.operator import CopiesConfig
 from ..store.files import DiskFolder
 from ..store.write_ahead_log import RecoveryResult, StoreError, WriteAheadLog
-from .messages import TOPIC, LogRecord, Message, MessageBatch, MessageError, decode_record, pack, unpack
-from .replica import Change, OperationResult, Replica
-
-AGAIN_S = 0.3  # between two tries to have the folder while another process of this proxy holds it
-FINISH_S = 0.3
-BATCH = 512  # records written at once
-PIECE = 200  # records of a checkpoint made at once, so that nobody waits for them
-LIVE_LEAST = 4 * 1024 * 1024  # bytes of log below which nothing is compacted
-TIMES = 3  # as large as what lives: then it is
-ROOM = 1_000  # bytes of messages in one datagram
+from .messages import (
+    REPLICA_TOPIC,
+    LogRecord,
+    Message,
+    MessageBatch,
+    MessageError,
+    decode_record,
+    pack,
+    unpack,
+)
+from .replica import ChangeFunction, OperationResult, Replica
+
+OPEN_RETRY_S = 0.3  # between two attempts to open the folder while another process holds its lock
+DRAIN_S = 0.3  # for the operations under way at a planned shutdown
+MAX_COMMIT_RECORDS = 512  # records per commit
+CHECKPOINT_PART_RECORDS = 200  # records per write of a checkpoint: commits do not wait for a whole one
+MIN_COMPACT_BYTES = 4 * 1024 * 1024  # a smaller log is not compacted
+COMPACT_RATIO = 3  # the log is compacted when it exceeds the last checkpoint this many times
+MAX_DATAGRAM_BYTES = 1_000  # bytes of messages in one datagram
 
 
 class CopiesDriver:
-    """`done` of `propose` is called with the result, once, perhaps at once."""
+    """`propose` calls `done` exactly once with the result, possibly before it returns."""
 
-    def __init__(self, name: str, terms: CopiesConfig, link: FleetDriver, seed: int) -> None:
-        self.name, self.terms, self.fleet = name, terms, link
+    def __init__(self, name: str, settings: CopiesConfig, fleet: FleetDriver, seed: int) -> None:
+        self.name, self.settings, self.fleet = name, settings, fleet
         self.rng = Random(seed ^ clock())
         self.log: WriteAheadLog | None = None
-        self.replica = self._machine(0, False)
+        self.replica = self._new_replica(0, False)
         self.pool: ThreadPool | None = None
         self.pending_records: deque[LogRecord] = deque()
-        self.bell = Bell()
-        self.waiting: dict[int, Callable[[OperationResult], None]] = {}
+        self.records_ready = Event()
+        self.callbacks: dict[int, Callable[[OperationResult], None]] = {}
         self.timer: Timer | None = None
         self.greenlets: list[Any] = []
         self.failure = "not open yet"
-        self.live = 0  # bytes of the last checkpoint
-        self.recovered: RecoveryResult | None = None
+        self.checkpoint_bytes = 0  # size of the last checkpoint
+        self.recovery: RecoveryResult | None = None
         self.counts = {"words": 0, "syncs": 0, "records": 0, "compacted": 0}
 
-    def _machine(self, store: int, founding: bool) -> Replica:
+    def _new_replica(self, store: int, founding: bool) -> Replica:
         return Replica(
-            self.name, store, self.terms.voters, clock(), self.rng, most=self.terms.most, founding=founding
+            self.name, store, self.settings.voters, clock(), self.rng,
+            max_registers=self.settings.most, founding=founding,
         )  # fmt: skip
 
-    # ------------------------------------------------------------ begin and end
+    # ------------------------------------------------------------ start and stop
 
     def open(self) -> None:
-        """From here on it takes part, as soon as the folder is to be had; a proxy without one asks the others."""
+        """Starts the replica once the folder can be locked. A proxy without a folder only proposes to the others."""
         self.fleet.raise_receive_limit()
         self.pool = ThreadPool(1)
-        self.greenlets = [gevent.spawn(self._write)]
-        if not self.terms.folder:
+        self.greenlets = [gevent.spawn(self._write_loop)]
+        if not self.settings.folder:
             self.failure = ""
             self._listen()
 
     def _listen(self) -> None:
-        """Not before the store has been read: what an empty machine wrote down, and whom it owed a result, would count
-        for the one that takes its place, and a record would pass for durable that is not."""
-        self.fleet.peer.handlers[TOPIC] = self._heard
-        self._after()
-
-    def _begin(self) -> bool:
-        """Reads the folder. Whether there is anything to write to from now on."""
-        told = False
+        """Starts to receive messages. With a folder, the store must have been read before. Otherwise the log records
+        and open operations of the empty replica would count for the restored one that replaces it, and a record could
+        pass for durable that is not."""
+        self.fleet.peer.handlers[REPLICA_TOPIC] = self._receive
+        self._process_output()
+
+    def _open_store(self) -> bool:
+        """Opens the log and restores the replica, retrying until the folder is available. Always returns True."""
+        reported = False
         while self.log is None:
             try:
-                self.log, self.recovered = self._there(_opened, self.terms.folder, self.terms.sync)
-            except (OSError, StoreError) as problem:
-                self.failure = f"{self.terms.folder}: {getattr(problem, 'strerror', None) or problem}"
-                if not told:
-                    log_event("copies", f"no store yet, trying on: {self.failure}", "warning")
-                told = True
-                gevent.sleep(AGAIN_S)
-        self._restored(self.log, self.recovered or RecoveryResult())
+                self.log, self.recovery = self._run_in_thread(
+                    _open_log, self.settings.folder, self.settings.sync
+                )
+            except (OSError, StoreError) as error:
+                self.failure = f"{self.settings.folder}: {getattr(error, 'strerror', None) or error}"
+                if not reported:
+                    log_event("copies", f"cannot open the store yet, retrying: {self.failure}", "warning")
+                reported = True
+                gevent.sleep(OPEN_RETRY_S)
+        self._restore(self.log, self.recovery or RecoveryResult())
         return True
 
-    def _restored(self, log: WriteAheadLog, found: RecoveryResult) -> None:
+    def _restore(self, log: WriteAheadLog, found: RecoveryResult) -> None:
         for line in found.damage:
             log_event("copies", f"damaged, counts as a new voter until it has caught up: {line}", "error")
         if found.is_copy:
@@ -96,250 +109,265 @@
         for body in found.records:
             try:
                 records.append(decode_record(body))
-            except (
-                MessageError
-            ) as problem:  # of a later version: what it said is not known, so nothing may hang on it
-                self.failure = f"a record of another version: {problem}"
+            except MessageError as error:
+                # A record of a later version: its meaning is unknown, so this store must not vote.
+                self.failure = f"a record of another version: {error}"
                 self.replica.fail_store(self.failure)
                 self._listen()
                 return
-        self.replica = self._machine(log.store_id, found.is_new)
+        self.replica = self._new_replica(log.store_id, found.is_new)
         self.replica.restore(records, clock())
-        self.live = log.size
+        self.checkpoint_bytes = log.size
         self.failure = ""
-        cut = (
-            f", {found.truncated_bytes} bytes of writes that were cut short are gone"
-            if found.truncated_bytes
-            else ""
+        truncated = (
+            f", {found.truncated_bytes} bytes of incomplete writes removed" if found.truncated_bytes else ""
         )
-        log_event("copies", f"store {log.store_id:016x}: {len(records)} records read{cut}")
+        log_event("copies", f"store {log.store_id:016x}: {len(records)} records read{truncated}")
         self._listen()
 
     def drain(self) -> None:
-        """A planned end: what is under way, how the last orders ended above all, has a moment to be decided."""
-        for _ in range(int(FINISH_S / 0.01)):
+        """At a planned shutdown, gives the operations under way time to finish, above all the outcomes of the last
+        requests."""
+        for _ in range(int(DRAIN_S / 0.01)):
             if not self.replica.operations:
                 return
             gevent.sleep(0.01)
 
     def close(self) -> None:
+        """Stops receiving and writing, commits the pending records and closes the store."""
         for greenlet in self.greenlets:
             greenlet.kill()
         self.greenlets = []
-        self.fleet.peer.handlers.pop(TOPIC, None)
+        self.fleet.peer.handlers.pop(REPLICA_TOPIC, None)
         if self.timer:
             self.timer.cancel()
             self.timer = None
         if self.log and self.pool is not None:
             log, self.log = self.log, None
             rest = [pack(r) for r in self.pending_records]
-            self._there(_closed, log, rest)
+            self._run_in_thread(_close_log, log, rest)
         self.pool = None
 
-    # ------------------------------------------------------------ asked
+    # ------------------------------------------------------------ interface
 
     def propose(
-        self, key: bytes, change: Change, until: int, done: Callable[[OperationResult], None], limit: int = 0
+        self,
+        key: bytes,
+        change: ChangeFunction,
+        expires_at_s: int,
+        done: Callable[[OperationResult], None],
+        limit_us: int = 0,
     ) -> None:
-        number = self.replica.propose(clock(), key, change, until, limit)
-        self.waiting[number] = done
-        self._after()
+        """Starts an operation on a register; see `Replica.propose`."""
+        number = self.replica.propose(clock(), key, change, expires_at_s, limit_us)
+        self.callbacks[number] = done
+        self._process_output()
 
     def broadcast(self, topic: int, body: bytes) -> None:
         self.fleet.broadcast(topic, body)
 
     def change_voters(self, what: str, name: str, new: str) -> str:
+        """Starts an operator's change of the voters. Returns the reason for a refusal, or ""."""
         why = self.replica.change_voters(clock(), what, name, new)
-        self._after()
+        self._process_output()
         return why
 
     def local_value(self, key: bytes) -> bytes:
+        """The value of the register in the local store, possibly outdated; empty if there is none."""
         row = self.replica.acceptor.get(key)
         return row.value if row else b""
 
     def has_quorum(self) -> bool:
         return self.replica.has_quorum()
 
-    # ------------------------------------------------------------ the link
+    # ------------------------------------------------------------ fleet link
 
-    def _heard(self, now: int, sender: str, body: bytes) -> None:
+    def _receive(self, now: int, sender: str, body: bytes) -> None:
         try:
-            bundle = unpack(body)
+            batch = unpack(body)
         except MessageError:
             self.counts["words"] += 1
             return
-        self.replica.receive(now, sender, bundle)
-        self._after()
+        self.replica.receive(now, sender, batch)
+        self._process_output()
 
-    def _turn(self) -> None:
-        wanted, self.timer = self.timer, None
+    def _on_timer(self) -> None:
+        timer, self.timer = self.timer, None
         try:
             now = clock()
-            self.replica.advance(now, max(0, now - wanted.due) if wanted else 0)
-        except Exception as problem:
+            self.replica.advance(now, max(0, now - timer.due) if timer else 0)
+        except Exception as error:
             log_event(
                 "fault",
-                f"copies: {type(problem).__name__}: {problem}",
+                f"copies: {type(error).__name__}: {error}",
                 "error",
-                where=error_location(problem),
+                where=error_location(error),
             )
-        self._after()
+        self._process_output()
 
-    def _after(self) -> None:
-        """Everything that the machine wants done, in order: records to the thread, messages out, results told."""
+    def _process_output(self) -> None:
+        """Handles the output of the replica, in order: records to the writer, messages to the fleet link, results to
+        their callbacks."""
         records, out, done = self.replica.drain_output()
         if records:
             self.pending_records.extend(records)
-            self.bell.set()
-        by: dict[str, list[Message]] = {}
+            self.records_ready.set()
+        by_recipient: dict[str, list[Message]] = {}
         for name, message in out:
-            by.setdefault(name, []).append(message)
-        for name, messages in by.items():
-            for body in bundled(self.replica.self_voter.store_id, messages):
-                self.fleet.send_payload(name, TOPIC, body)
+            by_recipient.setdefault(name, []).append(message)
+        for name, messages in by_recipient.items():
+            for body in batches(self.replica.self_voter.store_id, messages):
+                self.fleet.send_payload(name, REPLICA_TOPIC, body)
         for line in self.replica.log_lines:
             log_event("copies", line)
         self.replica.log_lines.clear()
         for result in done:
-            if tell := self.waiting.pop(result.operation, None):
-                tell(result)
+            if callback := self.callbacks.pop(result.operation, None):
+                callback(result)
         due = max(self.replica.next_deadline(), clock() + 1_000)
         if self.timer is None or due < self.timer.due:
             if self.timer:
                 self.timer.cancel()
-            self.timer = Timer(due, self._turn)
+            self.timer = Timer(due, self._on_timer)
 
-    # ------------------------------------------------------------ the disk
+    # ------------------------------------------------------------ disk
 
-    def _there(self, act: Callable[..., Any], *args: Any) -> Any:
-        """In the thread, while other greenlets have their turn. What it raises is raised here, and is nobody else's:
-        the pool would write a fault of its own to the log."""
+    def _run_in_thread(self, act: Callable[..., Any], *args: Any) -> Any:
+        """Calls `act` in the writer thread while other greenlets run. Its exceptions are returned and raised here: the
+        thread pool would also write them to the log."""
         assert self.pool is not None
-        found, problem = self.pool.apply(_caught, (act, args))
-        if problem:
-            raise problem
+        found, error = self.pool.apply(_call_catching, (act, args))
+        if error:
+            raise error
         return found
 
-    def _write(self) -> None:
-        """A greenlet: hands the thread what has come meanwhile, all at once, and goes on when it is durable."""
-        if not self.terms.folder or not self._begin():
+    def _write_loop(self) -> None:
+        """Greenlet that commits all records pending since the last commit together, one commit at a time."""
+        if not self.settings.folder or not self._open_store():
             return
         while True:
-            self.bell.wait()
-            self.bell.clear()
+            self.records_ready.wait()
+            self.records_ready.clear()
             while self.pending_records and not self.replica.store_failure:
                 self._commit(
-                    [self.pending_records.popleft() for _ in range(min(BATCH, len(self.pending_records)))]
+                    [
+                        self.pending_records.popleft()
+                        for _ in range(min(MAX_COMMIT_RECORDS, len(self.pending_records)))
+                    ]
                 )
                 if (
                     self.log
-                    and self.log.size > max(LIVE_LEAST, TIMES * self.live)
+                    and self.log.size > max(MIN_COMPACT_BYTES, COMPACT_RATIO * self.checkpoint_bytes)
                     and not self.replica.store_failure
                 ):
                     self._compact()
 
-    def _commit(self, some: list[LogRecord]) -> None:
+    def _commit(self, records: list[LogRecord]) -> None:
         assert self.log
         try:
-            self._there(self.log.commit, [pack(r) for r in some])
-        except (StoreError, OSError) as problem:
-            self._fail(str(problem))
+            self._run_in_thread(self.log.commit, [pack(r) for r in records])
+        except (StoreError, OSError) as error:
+            self._fail(str(error))
             return
         self.counts["syncs"] += 1
-        self.counts["records"] += len(some)
-        self.replica.mark_durable(clock(), self.replica.durable_index + len(some))
-        self._after()
+        self.counts["records"] += len(records)
+        self.replica.mark_durable(clock(), self.replica.durable_index + len(records))
+        self._process_output()
 
-    def _fail(self, why: str) -> None:
-        self.failure = f"{self.terms.folder}: {why}"
+    def _fail(self, reason: str) -> None:
+        self.failure = f"{self.settings.folder}: {reason}"
         self.replica.fail_store(self.failure)
         log_event(
             "copies",
-            f"the store has failed, this proxy no longer votes until it is started anew: {why}",
+            f"the store has failed, this proxy does not vote until it is restarted: {reason}",
             "error",
         )
         self.pending_records.clear()
-        self._after()
+        self._process_output()
 
     def _compact(self) -> None:
-        """What lives goes into a checkpoint, a piece at a time; records go on being written in between."""
+        """Writes the current state into a checkpoint, part by part; new records are committed in between."""
         assert self.log
         try:
-            checkpoint = self._there(self.log.checkpoint)
+            checkpoint = self._run_in_thread(self.log.checkpoint)
             size = 0
-            for piece in pieces(self.replica.snapshot(), PIECE):
-                bodies = [pack(r) for r in piece]
+            for part in split(self.replica.snapshot(), CHECKPOINT_PART_RECORDS):
+                bodies = [pack(r) for r in part]
                 size += sum(map(len, bodies))
-                self._there(checkpoint.append, bodies)
+                self._run_in_thread(checkpoint.append, bodies)
                 if self.pending_records:
                     self._commit(
-                        [self.pending_records.popleft() for _ in range(min(BATCH, len(self.pending_records)))]
+                        [
+                            self.pending_records.popleft()
+                            for _ in range(min(MAX_COMMIT_RECORDS, len(self.pending_records)))
+                        ]
                     )
                 if self.replica.store_failure:
                     return
-            self._there(checkpoint.finish)
-            self.live = size
+            self._run_in_thread(checkpoint.finish)
+            self.checkpoint_bytes = size
             self.counts["compacted"] += 1
-        except (StoreError, OSError) as problem:
-            self._fail(str(problem))
+        except (StoreError, OSError) as error:
+            self._fail(str(error))
 
-    # ------------------------------------------------------------ shown
+    # ------------------------------------------------------------ status
 
     def status(self) -> dict[str, Any]:
-        """All of it, as JSON."""
-        machine, group = self.replica, self.replica.config
-        waits = len(machine.deferred_replies)
+        """The status as a tree for JSON."""
+        replica, group = self.replica, self.replica.config
+        waiting = len(replica.deferred_replies)
         return {
-            "name": self.name, "store": f"{machine.self_voter.store_id:016x}",
-            "problem": self.failure or machine.store_failure,
-            "epoch": group.epoch, "voters": [_shown(v) for v in group.voters],
-            "before": [_shown(v) for v in group.old_voters],
-            "votes": machine.is_voter, "majority": machine.has_quorum(),
-            "caught_up": not machine.catchup.is_catching_up,
-            "silent": sorted(machine.unresponsive), "registers": len(machine.acceptor.registers),
-            "log_bytes": self.log.size if self.log else 0, "waiting": waits, "under_way": len(machine.operations),
-            "mended": machine.catchup.repaired_count, "counts": machine.counts | self.counts,
+            "name": self.name, "store": f"{replica.self_voter.store_id:016x}",
+            "problem": self.failure or replica.store_failure,
+            "epoch": group.epoch, "voters": [_voter_tree(v) for v in group.voters],
+            "before": [_voter_tree(v) for v in group.old_voters],
+            "votes": replica.is_voter, "majority": replica.has_quorum(),
+            "caught_up": not replica.catchup.is_catching_up,
+            "silent": sorted(replica.unresponsive), "registers": len(replica.acceptor.registers),
+            "log_bytes": self.log.size if self.log else 0, "waiting": waiting, "under_way": len(replica.operations),
+            "mended": replica.catchup.repaired_count, "counts": replica.counts | self.counts,
         }  # fmt: skip
 
 
-def _shown(voter: Any) -> dict[str, str]:
+def _voter_tree(voter: Any) -> dict[str, str]:
     return {"name": voter.name, "store": f"{voter.store_id:016x}"}
 
 
-def bundled(store: int, messages: list[Message]) -> Iterator[bytes]:
-    """As few datagrams as they fit into."""
+def batches(store: int, messages: list[Message]) -> Iterator[bytes]:
+    """Packs the messages, in order, into batches of one datagram each."""
     part: list[Message] = []
-    room = ROOM
+    room = MAX_DATAGRAM_BYTES
     for message in messages:
         size = len(pack(message))
         if part and (size > room or len(part) >= 64):
             yield pack(MessageBatch(store, part))
-            part, room = [], ROOM
+            part, room = [], MAX_DATAGRAM_BYTES
         part.append(message)
         room -= size
     if part:
         yield pack(MessageBatch(store, part))
 
 
-def pieces(records: Iterator[LogRecord], size: int) -> Iterator[list[LogRecord]]:
-    piece: list[LogRecord] = []
-    for one in records:
-        piece.append(one)
-        if len(piece) >= size:
-            yield piece
-            piece = []
-    if piece:
-        yield piece
+def split(records: Iterator[LogRecord], size: int) -> Iterator[list[LogRecord]]:
+    """Splits the records into lists of at most `size`."""
+    part: list[LogRecord] = []
+    for record in records:
+        part.append(record)
+        if len(part) >= size:
+            yield part
+            part = []
+    if part:
+        yield part
 
 
-def _caught(act: Callable[..., Any], args: tuple[Any, ...]) -> tuple[Any, Exception | None]:
+def _call_catching(act: Callable[..., Any], args: tuple[Any, ...]) -> tuple[Any, Exception | None]:
     try:
         return act(*args), None
-    except Exception as problem:
-        return None, problem
+    except Exception as error:
+        return None, error
 
 
-def _opened(folder: str, sync: bool) -> tuple[WriteAheadLog, RecoveryResult]:
+def _open_log(folder: str, sync: bool) -> tuple[WriteAheadLog, RecoveryResult]:
     files = DiskFolder(folder, sync)
     log = WriteAheadLog(files)
     try:
@@ -352,7 +380,7 @@
     return log, found
 
 
-def _closed(log: WriteAheadLog, rest: list[bytes]) -> None:
+def _close_log(log: WriteAheadLog, rest: list[bytes]) -> None:
     try:
         if rest and not log.failure:
             log.commit(rest)
--- a/slatehub/copies/fleet_maintenance.py
+++ b/slatehub/copies/fleet_maintenance.py
@@ -1,6 +1,6 @@
-"""Nodes out by hand, fleet-wide, in the daemon: an operator's call at one proxy becomes a register of the group, and
-each proxy does as the registers say. It owns what of them this proxy has done. It must never say yes before a majority
-holds it, never make an operator wait beyond a second, and never put back a node that a register still holds."""
+"""Fleet-wide maintenance of nodes in the daemon: an operator's call at one proxy is written to a replicated register,
+and each proxy applies the registers. This module keeps what this proxy has applied. A call succeeds only after a quorum
+holds it, an operator waits at most a second, and a node listed in a register is never put back into service."""
 
 from __future__ import annotations
 
@@ -21,39 +21,48 @@
 )
 from ..drivers.clock import clock
 from ..observe.log import error_location, log_event
-from .replica import UNCHANGED, WRITTEN, Change, OperationResult
+from .replica import UNCHANGED, WRITTEN, ChangeFunction, OperationResult
 
-MAINTENANCE_TOPIC = 2  # of the fleet's link
-CALL_US = 700_000  # for a majority
-LOOK_S = 1.0  # between two reads of one register, once all have been read
-FIRST_S = 0.1  # while no majority is there
-TELL_AGAIN_S = (0.0, 0.15, 0.4)  # news goes out more than once: a datagram may be lost
+MAINTENANCE_TOPIC = 2  # topic number on the fleet link
+PROPOSE_TIMEOUT_US = 700_000  # for an operation on a register
+POLL_INTERVAL_S = 1.0  # between two reads, once all registers have been read
+NO_QUORUM_RETRY_S = 0.1  # before the next attempt while no quorum is reachable
+BROADCAST_DELAYS_S = (0.0, 0.15, 0.4)  # before each repetition of an announcement: a datagram may be lost
 
 
-class Group(Protocol):
+class Registers(Protocol):
     def propose(
-        self, key: bytes, change: Change, until: int, done: Callable[[OperationResult], None], limit: int = 0
+        self,
+        key: bytes,
+        change: ChangeFunction,
+        expires_at_s: int,
+        done: Callable[[OperationResult], None],
+        limit_us: int = 0,
     ) -> None: ...
 
     def has_quorum(self) -> bool: ...
 
     def broadcast(self, topic: int, body: bytes) -> None:
-        """To all who are there."""
+        """Sends the payload to all reachable members."""
 
 
 class FleetMaintenance:
-    """`do`: a call at this proxy alone, as the other process of an upgrade would have it done; its status. `mine`: the
-    nodes that are out here, perhaps from an earlier life: the registers are right."""
+    """`apply_call`: carries out a management call at this proxy alone, as for a handover between processes, and returns
+    its status. `local_nodes`: the nodes in maintenance at this proxy, possibly since before a restart; where they
+    differ, the registers are right."""
 
     def __init__(
-        self, group: Group, do: Callable[[dict[str, Any]], int], mine: Callable[[], Iterable[str]]
+        self,
+        registers: Registers,
+        apply_call: Callable[[dict[str, Any]], int],
+        local_nodes: Callable[[], Iterable[str]],
     ) -> None:
-        self.group, self.do, self.mine = group, do, mine
-        self.known: dict[int, NodesInMaintenance] = {}
+        self.registers, self.apply_call, self.local_nodes = registers, apply_call, local_nodes
+        self.applied: dict[int, NodesInMaintenance] = {}
         self.greenlet: Any = None
 
     def open(self) -> None:
-        self.greenlet = gevent.spawn(self._look)
+        self.greenlet = gevent.spawn(self._poll)
 
     def close(self) -> None:
         if self.greenlet:
@@ -62,71 +71,72 @@
     # ------------------------------------------------------------ an operator's call
 
     def set_for_fleet(self, ident: str, out: bool) -> str:
-        """Waits for a majority, a second at the most. Why it was not done, or "": it binds all from now on."""
+        """Waits for a quorum, at most a second. Returns the reason for a failure, or "": the call applies to all
+        proxies from now on."""
         number = register_number(ident)
         call = SetNodeMaintenance(ident, out, clock() // 1000)
-        result = self._ask(number, call)
+        result = self._propose(number, call)
         if result.outcome == WRITTEN:
-            self._heard(number, result.value)
-            gevent.spawn(self._tell, number, result.value)
+            self._update(number, result.value)
+            gevent.spawn(self._announce, number, result.value)
             return ""
         return call.error or "no majority of the voters is there; perhaps it will be done all the same"
 
-    def _ask(self, number: int, change: Change) -> OperationResult:
-        answer: AsyncResult[OperationResult] = AsyncResult()
-        self.group.propose(register_key(number), change, 0, answer.set, CALL_US)
-        found = answer.get()
-        assert found
-        return found
+    def _propose(self, number: int, change: ChangeFunction) -> OperationResult:
+        pending_result: AsyncResult[OperationResult] = AsyncResult()
+        self.registers.propose(register_key(number), change, 0, pending_result.set, PROPOSE_TIMEOUT_US)
+        result = pending_result.get()
+        assert result
+        return result
 
-    def _tell(self, number: int, value: bytes) -> None:
-        for wait in TELL_AGAIN_S:
-            gevent.sleep(wait)
-            self.group.broadcast(MAINTENANCE_TOPIC, bytes([number]) + value)
+    def _announce(self, number: int, value: bytes) -> None:
+        for delay in BROADCAST_DELAYS_S:
+            gevent.sleep(delay)
+            self.registers.broadcast(MAINTENANCE_TOPIC, bytes([number]) + value)
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ updates
 
     def receive(self, now: int, sender: str, body: bytes) -> None:
-        """What another proxy says stands there: decided, as it says so only of what was."""
+        """Handles the announcement of a register value by another proxy, which announces only decided values."""
         if body and body[0] < REGISTER_COUNT:
-            self._heard(body[0], body[1:])
+            self._update(body[0], body[1:])
 
-    def _heard(self, number: int, value: bytes) -> None:
-        held, known = decode_value(value), self.known.get(number)
-        if held is None or (known and held.version <= known.version):
+    def _update(self, number: int, value: bytes) -> None:
+        register, applied = decode_value(value), self.applied.get(number)
+        if register is None or (applied and register.version <= applied.version):
             return
-        known = known or NodesInMaintenance(
-            started_at={ident: 0 for ident in self.mine() if register_number(ident) == number}
+        applied = applied or NodesInMaintenance(
+            started_at={ident: 0 for ident in self.local_nodes() if register_number(ident) == number}
         )
-        self.known[number] = held
-        for ident in [x for x in known.started_at if x not in held.started_at]:
-            self._done({"call": "ready", "ident": ident})
-        for ident in [x for x in held.started_at if x not in known.started_at]:
-            self._done({"call": "maint", "ident": ident})
+        self.applied[number] = register
+        for ident in [x for x in applied.started_at if x not in register.started_at]:
+            self._apply({"call": "ready", "ident": ident})
+        for ident in [x for x in register.started_at if x not in applied.started_at]:
+            self._apply({"call": "maint", "ident": ident})
 
-    def _done(self, tree: dict[str, Any]) -> None:
+    def _apply(self, call: dict[str, Any]) -> None:
         try:
-            self.do(tree)
-        except Exception as problem:
+            self.apply_call(call)
+        except Exception as error:
             log_event(
                 "fault",
-                f"nodes out by hand: {type(problem).__name__}: {problem}",
+                f"fleet-wide maintenance: {type(error).__name__}: {error}",
                 "error",
-                where=error_location(problem),
+                where=error_location(error),
             )
 
-    def _look(self) -> None:
-        """Reads one register after another, without end: all of them at once at the start, and whenever no majority was
-        there for a while; else slowly, as a net below the news that was lost."""
-        due, number = set(range(REGISTER_COUNT)), 0
+    def _poll(self) -> None:
+        """Greenlet that reads one register after another: all of them without a pause at the start and after a loss of
+        the quorum, otherwise slowly, to pick up updates whose announcements were lost."""
+        unread, number = set(range(REGISTER_COUNT)), 0
         while True:
-            if not self.group.has_quorum():
-                due = set(range(REGISTER_COUNT))
-                gevent.sleep(FIRST_S)
+            if not self.registers.has_quorum():
+                unread = set(range(REGISTER_COUNT))
+                gevent.sleep(NO_QUORUM_RETRY_S)
                 continue
-            number = min(due) if due else (number + 1) % REGISTER_COUNT
-            result = self._ask(number, rewrite_unchanged)
+            number = min(unread) if unread else (number + 1) % REGISTER_COUNT
+            result = self._propose(number, rewrite_unchanged)
             if result.outcome in (WRITTEN, UNCHANGED):
-                self._heard(number, result.value)
-                due.discard(number)
-            gevent.sleep(0 if due else LOOK_S)
+                self._update(number, result.value)
+                unread.discard(number)
+            gevent.sleep(0 if unread else POLL_INTERVAL_S)
--- a/slatehub/copies/idempotency_ledger.py
+++ b/slatehub/copies/idempotency_ledger.py
@@ -1,6 +1,7 @@
-"""The ledger of orders in the daemon: intents before an attempt goes out, outcomes after it, both as registers of the
-group. It owns which attempts wait for the group. It must never let one go out whose intent is not on a majority, never
-make a caller wait beyond a bound, and never send what may have run."""
+"""The idempotency ledger in the daemon: the intent of each attempt is recorded before it is sent, its outcome after it
+has ended, both in the replicated registers. The ledger keeps the attempts that wait for their intent. No attempt is
+sent before its intent is on a quorum, no caller waits longer than a fixed limit, and a request that may have been
+executed is never sent again."""
 
 from __future__ import annotations
 
@@ -24,29 +25,33 @@
 from ..drivers.clock import clock
 from ..observe.log import log_event
 from ..settings.operator import LedgerConfig
-from .replica import UNCERTAIN, UNCHANGED, WRITTEN, Change, OperationResult
+from .replica import UNCERTAIN, UNCHANGED, WRITTEN, ChangeFunction, OperationResult
 
-CLAIM_US = 400_000  # for an intent: then its caller is told to come again
-OUTCOME_US = 3_000_000
-TRIES = 5  # to write down how an attempt ended, or that it never ran
-BACK_US = 1_000_000  # when to come back while no majority is there
+INTENT_TIMEOUT_US = 400_000  # to record an intent; afterwards the caller is asked to retry
+OUTCOME_TIMEOUT_US = 3_000_000  # to record an outcome, and the delay before the next attempt to record it
+OUTCOME_ATTEMPTS = 5  # to record an outcome, or that the attempt never ran
+RETRY_AFTER_US = 1_000_000  # retry time given to callers while no quorum is reachable
 
 
-Tell = Callable[[OperationResult], None]
+ResultCallback = Callable[[OperationResult], None]
 
 
 class Registers(Protocol):
-    """The registers."""
+    """The replicated registers."""
 
-    def propose(self, key: bytes, change: Change, until: int, done: Tell, limit: int = 0) -> None: ...
+    def propose(
+        self, key: bytes, change: ChangeFunction, expires_at_s: int, done: ResultCallback, limit_us: int = 0
+    ) -> None: ...
 
     def has_quorum(self) -> bool: ...
 
     def local_value(self, key: bytes) -> bytes:
-        """What is known of this register here, without asking: it may be old."""
+        """The value of the register in the local store, possibly outdated. Sends no messages."""
 
 
 class AttemptOwner(Protocol):
+    """The dispatcher, as the ledger sees it."""
+
     node_ids: dict[int, str]
 
     def intent_persisted(self, attempt: Attempt) -> bool: ...
@@ -55,36 +60,44 @@
 
 
 class IdempotencyLedger:
-    """`proof`: what the end of an attempt proves, as `nodes.outcomes` says; `names`: of classes, by their numbers."""
+    """`evidence`: what the end of an attempt proves about its execution (see `nodes.outcomes`). `names`: class and
+    tenant of a job by name. `schedule` must be set before use."""
 
     def __init__(
-        self, group: Registers, desk: AttemptOwner, terms: LedgerConfig, proof: Callable[[Any], str],
+        self, registers: Registers, attempt_owner: AttemptOwner, settings: LedgerConfig, evidence: Callable[[Any], str],
         names: Callable[[Job], tuple[str, str]], seed: int,
     ) -> None:  # fmt: skip
-        self.registers, self.attempt_owner, self.settings, self.proof, self.names = (
-            group,
-            desk,
-            terms,
-            proof,
+        self.registers, self.attempt_owner, self.settings, self.evidence, self.names = (
+            registers,
+            attempt_owner,
+            settings,
+            evidence,
             names,
         )
         self.rng = Random(seed ^ clock())
-        self.open: dict[Attempt, IdempotencyRecord] = {}  # whose intent has been asked for
+        # Attempts whose intent has been proposed or recorded.
+        self.open_intents: dict[Attempt, IdempotencyRecord] = {}
         self.counts = dict.fromkeys(("claimed", "same", "ran", "doubt", "other", "refused", "unwritten"), 0)
 
-    # ------------------------------------------------------------ before it is sent
+    # ------------------------------------------------------------ before an attempt
 
     def recorded_answer(self, job: Job) -> Answer | None:
-        """A repeat whose answer is held here is answered at once, under whatever load; what a node has done is a fact,
-        however old the news. Without a majority such an order is refused at once, and only such ones."""
+        """The answer of a repeated request if it is held locally: immediate, even under overload, since the record of
+        an execution stays true however old it is. Otherwise, and without a reachable quorum, an immediate refusal,
+        which concerns only requests with an idempotency key. None: the request can go on."""
         value = self.registers.local_value(job.intent_register)
         entry = decode_idempotency_record(value) if value else None
-        if entry and entry.mark == self._mark(job) and result_for_repeat(entry) is ClaimResult.REPLAYABLE:
+        if (
+            entry
+            and entry.mark == self._fingerprint(job)
+            and result_for_repeat(entry) is ClaimResult.REPLAYABLE
+        ):
             self.counts["same"] += 1
             return self._answer(ClaimResult.REPLAYABLE, entry)
         return None if self.registers.has_quorum() else self._refusal()
 
     def record_intent(self, attempt: Attempt) -> None:
+        """Proposes the intent of an attempt. The attempt owner is notified once it is recorded or rejected."""
         job = attempt.job
         if not job.claim_token:
             job.claim_token = self.rng.getrandbits(62) | 1
@@ -92,25 +105,37 @@
         cls, tenant = self.names(job)
         now = clock()
         entry = intent_record(
-            job.claim_token, self._mark(job), job.request_id, cls, tenant, node, attempt.number, now // 1000
+            job.claim_token,
+            self._fingerprint(job),
+            job.request_id,
+            cls,
+            tenant,
+            node,
+            attempt.number,
+            now // 1000,
         )
         claim = ClaimIntent(entry)
-        self.open[attempt] = entry
-        left = max(1, min(CLAIM_US, attempt.deadline - now))
+        self.open_intents[attempt] = entry
+        limit_us = max(1, min(INTENT_TIMEOUT_US, attempt.deadline - now))
         self.registers.propose(
-            job.intent_register, claim, self._until(), partial(self._claimed, attempt, claim), left
+            job.intent_register,
+            claim,
+            self._expires_at_s(),
+            partial(self._intent_finished, attempt, claim),
+            limit_us,
         )
 
-    def _claimed(self, attempt: Attempt, claim: ClaimIntent, result: OperationResult) -> None:
+    def _intent_finished(self, attempt: Attempt, claim: ClaimIntent, result: OperationResult) -> None:
         if result.outcome == WRITTEN:
             self.counts["claimed"] += 1
             if not self.attempt_owner.intent_persisted(attempt):
-                self._never(attempt)  # its caller has gone, or its time: another try may go on as new
+                # The caller has gone or the deadline has passed: a retry may start anew.
+                self._record_never_ran(attempt)
             return
         if result.outcome == UNCERTAIN:
-            self._never(attempt)
+            self._record_never_ran(attempt)
         else:
-            self.open.pop(attempt, None)
+            self.open_intents.pop(attempt, None)
         if result.outcome == UNCHANGED and claim.existing:
             self.counts[claim.result.value if claim.result.value in self.counts else "doubt"] += 1
             self.attempt_owner.intent_rejected(attempt, self._answer(claim.result, claim.existing))
@@ -124,16 +149,16 @@
 
     def _refusal(self) -> Answer:
         self.counts["refused"] += 1
-        return Answer(AnswerStatus.REFUSED, retry_after_us=BACK_US)
+        return Answer(AnswerStatus.REFUSED, retry_after_us=RETRY_AFTER_US)
 
     @staticmethod
-    def _answer(finding: ClaimResult, entry: IdempotencyRecord) -> Answer:
-        if finding is ClaimResult.REPLAYABLE:
+    def _answer(result: ClaimResult, entry: IdempotencyRecord) -> Answer:
+        if result is ClaimResult.REPLAYABLE:
             return Answer(AnswerStatus.SERVED, NodeResponse(entry.body or b"", entry.kind))
-        if finding is ClaimResult.KEY_REUSED:
+        if result is ClaimResult.KEY_REUSED:
             return Answer(AnswerStatus.KEY_REUSED, "this order key stands for another order")
-        node, when = entry.node or "a node", _moment(entry.at_ms)
-        if finding is ClaimResult.COMPLETED_WITHOUT_BODY:
+        node, when = entry.node or "a node", _iso_time(entry.at_ms)
+        if result is ClaimResult.COMPLETED_WITHOUT_BODY:
             return Answer(
                 AnswerStatus.OUTCOME_UNKNOWN, f"executed by {node}, answered {when}; the answer is not held"
             )
@@ -141,51 +166,52 @@
             AnswerStatus.OUTCOME_UNKNOWN, f"sent to {node} at {when}, outcome unknown; nothing was sent now"
         )
 
-    # ------------------------------------------------------------ after it has ended
+    # ------------------------------------------------------------ after an attempt
 
-    def record_outcome(self, attempt: Attempt, status: Any, printed: Any) -> None:
-        entry = self.open.pop(attempt, None)
+    def record_outcome(self, attempt: Attempt, status: Any, response: Any) -> None:
+        """Records the end of an attempt if it proves that the request was, or never was, executed."""
+        entry = self.open_intents.pop(attempt, None)
         if entry is None:
             return
-        proof, at = self.proof(status), clock() // 1000
+        proof, at = self.evidence(status), clock() // 1000
         if proof == "never":
-            self._write(attempt.job.intent_register, never_ran_record(entry, at))
+            self._write_outcome(attempt.job.intent_register, never_ran_record(entry, at))
         elif proof == "ran":
-            whole = isinstance(printed, NodeResponse) and printed.body_stream is None
-            body = bytes(printed.body) if whole else None
-            self._write(
+            complete = isinstance(response, NodeResponse) and response.body_stream is None
+            body = bytes(response.body) if complete else None
+            self._write_outcome(
                 attempt.job.intent_register,
-                completed_record(entry, at, printed.content_type if whole else "", body),
+                completed_record(entry, at, response.content_type if complete else "", body),
             )
 
-    def _never(self, attempt: Attempt) -> None:
-        if entry := self.open.pop(attempt, None):
-            self._write(attempt.job.intent_register, never_ran_record(entry, clock() // 1000))
+    def _record_never_ran(self, attempt: Attempt) -> None:
+        if entry := self.open_intents.pop(attempt, None):
+            self._write_outcome(attempt.job.intent_register, never_ran_record(entry, clock() // 1000))
 
-    def _write(self, key: bytes, entry: IdempotencyRecord, tries: int = TRIES) -> None:
-        def again(result: OperationResult) -> None:
+    def _write_outcome(self, key: bytes, entry: IdempotencyRecord, attempts: int = OUTCOME_ATTEMPTS) -> None:
+        def done(result: OperationResult) -> None:
             if result.outcome in (WRITTEN, UNCHANGED):
                 return
-            if tries > 1:
-                self.schedule(OUTCOME_US, lambda: self._write(key, entry, tries - 1))
+            if attempts > 1:
+                self.schedule(OUTCOME_TIMEOUT_US, lambda: self._write_outcome(key, entry, attempts - 1))
             else:
                 self.counts["unwritten"] += 1
-                log_event("ledger", "how an order ended could not be written down: its repeats are told so", "warning",
-                    request=entry.request)  # fmt: skip
+                log_event("ledger", "the outcome of a request could not be recorded: repeats get `outcome unknown`",
+                    "warning", request=entry.request)  # fmt: skip
 
-        self.registers.propose(key, WriteOutcome(entry), self._until(), again, OUTCOME_US)
+        self.registers.propose(key, WriteOutcome(entry), self._expires_at_s(), done, OUTCOME_TIMEOUT_US)
 
-    schedule: Callable[[int, Callable[[], None]], Any]  # after so many microseconds
+    schedule: Callable[[int, Callable[[], None]], Any]  # calls a function after a delay in microseconds
 
-    def _until(self) -> int:
+    def _expires_at_s(self) -> int:
         return clock() // 1_000_000 + self.settings.keep_s
 
     @staticmethod
-    def _mark(job: Job) -> int:
+    def _fingerprint(job: Job) -> int:
         return job.fingerprint >> 1
 
 
-def _moment(ms: int) -> str:
+def _iso_time(ms: int) -> str:
     from datetime import UTC, datetime
 
     return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds")
--- a/slatehub/copies/messages.py
+++ b/slatehub/copies/messages.py
@@ -1,7 +1,7 @@
-"""What voters say to each other, and what each writes down, as typed messages in MessagePack. It owns their form and
-the bounds of every value. It must never let a value through that the machines behind it would have to doubt.
+"""Messages between voters and records of a voter's log, as typed structs in MessagePack. All bounds of the values are
+checked while decoding, so the code behind it can rely on them.
 
-Formats of version 1. A field is only ever added at the end, with a default: an older voter reads past it."""
+Format version 1. New fields are added only at the end and with a default; older versions ignore them."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 import msgspec
 from msgspec import Meta
 
-TOPIC = 1  # of the fleet's link
+REPLICA_TOPIC = 1  # topic number on the fleet link
 U32 = Annotated[int, Meta(ge=0, lt=2**32)]
 U63 = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Key = Annotated[bytes, Meta(min_length=16, max_length=16)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-VALUE_MOST = 800  # bytes: a value travels in one datagram, beside what belongs to it
-Value = Annotated[bytes, Meta(max_length=VALUE_MOST)]
-VOTERS_MOST = 9
-DIGEST_RANGES = 64  # parts in which two stores are compared
-KEYS_MOST = 24  # in one message
-CONFIG_KEY = bytes(16)  # the register that holds who votes
+MAX_VALUE_BYTES = 800  # bytes; a value must fit into one datagram together with its message
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
+MAX_VOTERS = 9
+DIGEST_RANGES = 64  # key ranges in which two stores are compared
+MAX_KEYS_PER_MESSAGE = 24  # in one message
+CONFIG_KEY = bytes(16)  # key of the register that holds the group configuration
 
 
 class MessageError(ValueError):
-    """Not a message of ours."""
+    """The bytes are not a valid message or record of this version."""
 
 
 class Ballot(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """`counter` first, then whose: no two proposers ever use the same."""
+    """Ordered by counter, then by proposer id, so no two proposers ever use the same ballot."""
 
     counter: U63 = 0
     proposer: U63 = 0
 
 
-NONE = Ballot()
+NO_BALLOT = Ballot()
 
 
 class Voter(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """A proxy's name and the number of its store: the same name with another store is another voter."""
+    """A proxy's name and the id of its store. The same name with another store is a different voter."""
 
     name: Name
     store_id: U63
 
 
-Voters = Annotated[tuple[Voter, ...], Meta(max_length=VOTERS_MOST)]
+Voters = Annotated[tuple[Voter, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class GroupConfig(msgspec.Struct, array_like=True, frozen=True):
-    """Who votes. While `old_voters` is not empty a change is under way, and both need a majority (joint consensus:
-    Ongaro, Consensus, 2014, 4.3)."""
+    """The voters. While `old_voters` is not empty a change is under way, and decisions need a majority of both sets
+    (joint consensus: Ongaro, Consensus: Bridging Theory and Practice, 2014, section 4.3)."""
 
     epoch: U63 = 0
     voters: Voters = ()
@@ -57,7 +57,7 @@
 
 
 class RegisterState(msgspec.Struct, array_like=True, frozen=True):
-    """A register as one voter has accepted it. `until`: seconds from the Unix epoch, 0: for good."""
+    """A register as one voter has accepted it. `expires_at_s`: seconds from the Unix epoch, 0: never."""
 
     key: Key
     ballot: Ballot
@@ -65,35 +65,41 @@
     value: Value
 
 
-# ---------------------------------------------------------------- written down
+# ---------------------------------------------------------------- log records
 
 
 class BallotCeiling(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """No ballot up to this counter is taken after a restart: any of them may have been promised away."""
+    """After a restart ballots up to this counter are rejected: any of them may have been promised."""
 
     counter: U63
 
 
 class StateAccepted(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """The acceptor has accepted this state, or learned it from another voter."""
+
     state: RegisterState
 
 
 class ConfigAdopted(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """The replica has adopted this group configuration."""
+
     config: GroupConfig
 
 
 class CaughtUp(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """All that counted when `epoch` began is here."""
+    """The store holds all that had been decided when `epoch` began."""
 
     epoch: U63
 
 
 LogRecord = BallotCeiling | StateAccepted | ConfigAdopted | CaughtUp
 
-# ---------------------------------------------------------------- said
+# ---------------------------------------------------------------- messages
 
 
 class Prepare(msgspec.Struct, array_like=True, frozen=True, tag=10):
+    """Phase 1: asks for a promise, and for the accepted state of a register."""
+
     operation: U32
     epoch: U63
     key: Key
@@ -101,17 +107,17 @@
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """`accepted`: the ballot of what stands here, NONE where nothing does."""
+    """`accepted`: ballot of the state accepted here, NO_BALLOT if there is none."""
 
     operation: U32
     ballot: Ballot
     accepted: Ballot
-    until: U63
+    expires_at_s: U63
     value: Value
 
 
 class Accept(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """`next_ballot`: the next ballot, promised along with it."""
+    """`next_ballot`: the proposer's next ballot, promised together with the accept."""
 
     operation: U32
     epoch: U63
@@ -120,12 +126,14 @@
 
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag=13):
+    """The voter has accepted the state proposed with this ballot."""
+
     operation: U32
     ballot: Ballot
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    """`counter`: above which a ballot might do; `reason`: below."""
+    """`counter`: a ballot above it may succeed. `reason`: one of the constants below."""
 
     operation: U32
     ballot: Ballot
@@ -134,22 +142,24 @@
     epoch: U63
 
 
-LATE, EPOCH, NO_VOTER, FULL, BROKEN, BEHIND = range(6)
+STALE_BALLOT, STALE_EPOCH, NOT_A_VOTER, REGISTERS_FULL, STORE_UNAVAILABLE, VOTER_BEHIND = range(6)
 
 
 class ConfigRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """Who votes? And, of who asks: whether it is new, and so may found the group."""
+    """Asks for the group configuration. `founding`: the sender's store is new, so it may take part in founding."""
 
     epoch: U63
     founding: bool
 
 
 class ConfigResponse(msgspec.Struct, array_like=True, frozen=True, tag=16):
+    """The sender's group configuration."""
+
     config: GroupConfig
 
 
 class RangeDigests(msgspec.Struct, array_like=True, frozen=True, tag=17):
-    """Hashes of the parts of the sender's store; `reply_wanted`: please tell me yours."""
+    """Digests of the key ranges of the sender's store. `reply_wanted`: asks for the recipient's digests."""
 
     epoch: U63
     reply_wanted: bool
@@ -157,32 +167,38 @@
 
 
 class KeysRequest(msgspec.Struct, array_like=True, frozen=True, tag=18):
+    """Asks for the keys of one range behind the key `after`, in order."""
+
     epoch: U63
     bucket: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     after: Annotated[bytes, Meta(max_length=16)]
 
 
 class KeysResponse(msgspec.Struct, array_like=True, frozen=True, tag=19):
+    """Keys of one range with their ballots. `last`: there are no further keys in the range."""
+
     epoch: U63
     bucket: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     after: Annotated[bytes, Meta(max_length=16)]
-    versions: Annotated[list[tuple[Key, Ballot]], Meta(max_length=KEYS_MOST)]
+    versions: Annotated[list[tuple[Key, Ballot]], Meta(max_length=MAX_KEYS_PER_MESSAGE)]
     last: bool
 
 
 class StatesRequest(msgspec.Struct, array_like=True, frozen=True, tag=20):
-    keys: Annotated[list[Key], Meta(max_length=KEYS_MOST)]
+    """Asks for the states of these registers."""
+
+    keys: Annotated[list[Key], Meta(max_length=MAX_KEYS_PER_MESSAGE)]
 
 
 class StatesResponse(msgspec.Struct, array_like=True, frozen=True, tag=21):
-    """As many as fit. `missing`: asked for and not here."""
+    """As many states as fit. `missing`: requested keys that are not held here."""
 
-    states: Annotated[list[RegisterState], Meta(max_length=KEYS_MOST)]
-    missing: Annotated[list[Key], Meta(max_length=KEYS_MOST)]
+    states: Annotated[list[RegisterState], Meta(max_length=MAX_KEYS_PER_MESSAGE)]
+    missing: Annotated[list[Key], Meta(max_length=MAX_KEYS_PER_MESSAGE)]
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=22):
-    """Are you there? Answered by the same with `is_reply`."""
+    """Asks whether the recipient is reachable; answered by the same message with `is_reply`."""
 
     is_reply: bool
 
@@ -205,40 +221,42 @@
 
 
 class MessageBatch(msgspec.Struct, array_like=True, frozen=True):
-    """Messages that go to one at one time. `store_id`: the sender's number."""
+    """Messages sent together to one recipient. `store_id`: id of the sender's store, 0: none."""
 
     store_id: U63
     messages: Annotated[list[Message], Meta(max_length=64)]
 
 
 _encoder = msgspec.msgpack.Encoder()
-_bundles = msgspec.msgpack.Decoder(MessageBatch)
-_records = msgspec.msgpack.Decoder(LogRecord)
-_configs = msgspec.msgpack.Decoder(GroupConfig)
+_batch_decoder = msgspec.msgpack.Decoder(MessageBatch)
+_record_decoder = msgspec.msgpack.Decoder(LogRecord)
+_config_decoder = msgspec.msgpack.Decoder(GroupConfig)
 
 
 def pack(value: MessageBatch | LogRecord | GroupConfig | Message) -> bytes:
+    """Encodes a message, batch, record or configuration as MessagePack."""
     return _encoder.encode(value)
 
 
 def unpack(body: bytes) -> MessageBatch:
-    """MessageError where it is none."""
+    """Decodes a message batch. Raises MessageError."""
     try:
-        return _bundles.decode(body)
-    except (msgspec.DecodeError, RecursionError) as problem:
-        raise MessageError(str(problem)[:200]) from None
+        return _batch_decoder.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise MessageError(str(error)[:200]) from None
 
 
 def decode_record(body: bytes) -> LogRecord:
-    """MessageError where it is none: of a version that we do not know."""
+    """Decodes a log record. Raises MessageError, also for a record of an unknown version."""
     try:
-        return _records.decode(body)
-    except (msgspec.DecodeError, RecursionError) as problem:
-        raise MessageError(str(problem)[:200]) from None
+        return _record_decoder.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise MessageError(str(error)[:200]) from None
 
 
 def decode_config(body: bytes) -> GroupConfig:
+    """Decodes a group configuration. Raises MessageError."""
     try:
-        return _configs.decode(body)
-    except (msgspec.DecodeError, RecursionError) as problem:
-        raise MessageError(str(problem)[:200]) from None
+        return _config_decoder.decode(body)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise MessageError(str(error)[:200]) from None
