--- a/slatehub/store/__init__.py
+++ b/slatehub/store/__init__.py
@@ -1,1 +1,2 @@
-"""What a proxy has promised, on its own disk: a log of framed records. Loaded only where `[copies]` is on."""
+"""Durable storage of the replicated registers: a write-ahead log of framed records. Loaded only where `[copies]` is
+on."""
--- a/slatehub/store/files.py
+++ b/slatehub/store/files.py
@@ -1,6 +1,6 @@
-"""The few file calls that the store makes, behind one small interface, so that a file system that fails, or forgets
-what was not synced, can stand in. It owns the folder, its lock and who the folder is. It must never buffer a write,
-and never report a sync that the system did not report."""
+"""The file operations of the store behind a small interface, so that tests can substitute a file system that fails or
+loses unsynced data. `DiskFolder` holds the folder, its lock and its identity. Writes are never buffered, and a sync is
+reported only when the operating system has reported it."""
 
 from __future__ import annotations
 
@@ -10,45 +10,51 @@
 
 
 class FolderLockedError(OSError):
-    """Another process has the folder."""
+    """Another process holds the folder's lock."""
 
 
 class AppendFile(Protocol):
+    """A file that is only written at its end."""
+
     def write(self, data: bytes) -> None:
-        """All of it behind what is there. OSError; then nobody knows how much of it was written."""
+        """Appends all of `data`. Raises OSError; then it is unknown how much of it was written."""
 
     def sync(self) -> None:
-        """Returns once all that was written will outlive a loss of power. OSError; then nobody knows, and asking
-        again tells nothing: the system may have dropped the pages that it could not write."""
+        """Returns once all written data survives a power loss. Raises OSError; then it is unknown what is on the disk,
+        and a second sync proves nothing: the system may have dropped the pages that it could not write."""
 
     def close(self) -> None: ...
 
 
 class Folder(Protocol):
+    """A flat folder of files. All methods raise OSError."""
+
     def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str) -> AppendFile:
-        """The file, made where there is none, to be written at its end."""
+        """Opens the file for appending, and creates it if necessary."""
 
     def truncate(self, name: str, size: int) -> None:
-        """What stands behind `size` goes, durably."""
+        """Truncates the file to `size` bytes, durably."""
 
     def replace(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
     def sync_directory(self) -> None:
-        """Names made, replaced and removed so far outlive a loss of power."""
+        """Makes all created, replaced and removed names so far durable."""
 
     def identity(self) -> str:
-        """Differs where the folder was copied: guards against two machines that vote with one memory."""
+        """A copy of the folder has another identity: guards against two nodes that vote with the same store."""
 
     def close(self) -> None: ...
 
 
 class DiskFile:
+    """An append-only file on disk."""
+
     def __init__(self, path: str, durable: bool = True) -> None:
         self.durable = durable
         self.fd = os.open(path, os.O_CREAT | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, 0o600)
@@ -67,20 +73,20 @@
 
 
 class DiskFolder:
-    """A folder of the machine's, made where there is none. FolderLockedError while it is held. `durable` False: syncs
-    of files say yes at once."""
+    """A folder on disk, created if necessary, with an exclusive lock. Raises FolderLockedError while another process
+    holds the lock. With `durable` False, syncs of files return without doing anything."""
 
     def __init__(self, folder: str, durable: bool = True) -> None:
         self.durable = durable
         os.makedirs(folder, mode=0o700, exist_ok=True)
         self.folder = folder
-        self.dir = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        self.lock = os.open(self._path("lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        self.directory_fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.lock_fd = os.open(self._path("lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as problem:
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError as error:
             self.close()
-            raise FolderLockedError(problem.errno, "another process has this folder") from None
+            raise FolderLockedError(error.errno, "another process has this folder") from None
 
     def _path(self, name: str) -> str:
         return os.path.join(self.folder, name)
@@ -110,18 +116,18 @@
         os.remove(self._path(name))
 
     def sync_directory(self) -> None:
-        os.fsync(self.dir)
+        os.fsync(self.directory_fd)
 
     def identity(self) -> str:
-        """Device and number of the folder, and the machine's id where it has one: a copy has others."""
-        found = os.fstat(self.dir)
+        """Device and inode of the folder, and the machine id if there is one: they differ in a copy."""
+        status = os.fstat(self.directory_fd)
         try:
             with open("/etc/machine-id", encoding="ascii") as file:
-                machine = file.read(64).strip()
+                machine_id = file.read(64).strip()
         except (OSError, ValueError):
-            machine = ""
-        return f"{machine}:{found.st_dev}:{found.st_ino}"
+            machine_id = ""
+        return f"{machine_id}:{status.st_dev}:{status.st_ino}"
 
     def close(self) -> None:
-        for fd in (self.lock, self.dir):
+        for fd in (self.lock_fd, self.directory_fd):
             os.close(fd)
--- a/slatehub/store/frames.py
+++ b/slatehub/store/frames.py
@@ -1,5 +1,5 @@
-"""Records as bytes: each framed by a mark, its length and a CRC32C (RFC 3720, B.4) over both length and body. Pure. It
-must never give out a body whose sum is wrong, and never miss that something stands between two good ones."""
+"""Framing of log records: a magic number, the length and a CRC32C (RFC 3720, B.4) over length and body. Pure. A body
+with a wrong checksum is never returned, and bytes between two valid frames are always reported as a gap."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 
 from crc32c import crc32c
 
-MARK = b"\xf7SL\x1a"
+MAGIC = b"\xf7SL\x1a"
 HEADER = struct.Struct("!4sII")
 LENGTH = struct.Struct("!I")
-LARGEST = 64 * 1024  # bytes of a body
+MAX_BODY_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
+    """A valid frame: its offsets in the file and its body."""
+
     start: int
     end: int
     body: bytes
@@ -23,46 +25,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """The good frames of a file, and the gaps (from, to) between and behind them that are none."""
+    """The valid frames of a file, and the gaps (start, end) between and after them."""
 
     frames: list[Frame]
     gaps: list[tuple[int, int]]
 
 
 def encode_frame(body: bytes) -> bytes:
-    if not 0 < len(body) <= LARGEST:
-        raise ValueError(f"a record of {len(body)} bytes, 1 to {LARGEST} are taken")
+    """Raises ValueError for an empty or too large body."""
+    if not 0 < len(body) <= MAX_BODY_BYTES:
+        raise ValueError(f"record has {len(body)} bytes; 1 to {MAX_BODY_BYTES} are allowed")
     length = LENGTH.pack(len(body))
-    return HEADER.pack(MARK, len(body), crc32c(body, crc32c(length))) + body
+    return HEADER.pack(MAGIC, len(body), crc32c(body, crc32c(length))) + body
 
 
-def _at(data: bytes, at: int) -> Frame | None:
-    if len(data) - at < HEADER.size:
+def _frame_at(data: bytes, offset: int) -> Frame | None:
+    if len(data) - offset < HEADER.size:
         return None
-    mark, length, sum_ = HEADER.unpack_from(data, at)
-    end = at + HEADER.size + length
-    if mark != MARK or not 0 < length <= LARGEST or end > len(data):
+    magic, length, checksum = HEADER.unpack_from(data, offset)
+    end = offset + HEADER.size + length
+    if magic != MAGIC or not 0 < length <= MAX_BODY_BYTES or end > len(data):
         return None
-    body = data[at + HEADER.size : end]
-    return Frame(at, end, body) if crc32c(body, crc32c(LENGTH.pack(length))) == sum_ else None
+    body = data[offset + HEADER.size : end]
+    return Frame(offset, end, body) if crc32c(body, crc32c(LENGTH.pack(length))) == checksum else None
 
 
 def scan_frames(data: bytes) -> Scan:
-    """Goes on behind what is broken, so that it is known whether anything good follows."""
+    """Continues after invalid bytes, so that valid frames behind them are found too."""
     frames: list[Frame] = []
     gaps: list[tuple[int, int]] = []
-    at = 0
-    while at < len(data):
-        frame = _at(data, at)
+    offset = 0
+    while offset < len(data):
+        frame = _frame_at(data, offset)
         if frame is None:
-            begin = at
+            gap_start = offset
             while frame is None:
-                at = data.find(MARK, at + 1)
-                if at < 0:
-                    gaps.append((begin, len(data)))
+                offset = data.find(MAGIC, offset + 1)
+                if offset < 0:
+                    gaps.append((gap_start, len(data)))
                     return Scan(frames, gaps)
-                frame = _at(data, at)
-            gaps.append((begin, at))
+                frame = _frame_at(data, offset)
+            gaps.append((gap_start, offset))
         frames.append(frame)
-        at = frame.end
+        offset = frame.end
     return Scan(frames, gaps)
