--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -1,5 +1,5 @@
-"""Registers that a group keeps together, on virtual time: drawn days, each message lost or doubled in turn, a crash at
-each moment; and faults planted in the machine, which the judge must find."""
+"""Replicated registers in simulation: randomized fault schedules, the loss or duplication of each single message, a
+crash at each moment; and faults planted in the replica, which the linearizability check must detect."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from slatehub.copies import replica as machines
+from slatehub.copies import replica as replica_module
 from slatehub.copies.acceptor import CLOCK_SKEW_S, MAX_COUNTER_JUMP, Acceptor
 from slatehub.copies.messages import (
     CONFIG_KEY,
@@ -64,245 +64,250 @@
 THREE = ["p0", "p1", "p2"]
 
 
-def group(seed: int = 1, names: list[str] | None = None) -> ReplicaSimulation:
-    votes = ReplicaSimulation(seed, names or THREE)
-    votes.start(*votes.founders)
-    votes.run(2 * SECOND)
-    assert all(machine.config.epoch == 1 for machine in votes.running.values())
-    return votes
+def start_group(seed: int = 1, names: list[str] | None = None) -> ReplicaSimulation:
+    simulation = ReplicaSimulation(seed, names or THREE)
+    simulation.start(*simulation.founders)
+    simulation.run(2 * SECOND)
+    assert all(replica.config.epoch == 1 for replica in simulation.running.values())
+    return simulation
 
 
-def reach(votes: ReplicaSimulation, true: Callable[[], object], span: int = 20 * SECOND) -> None:
-    """Runs until that is so."""
-    end = votes.now + span
-    while not true():
-        assert votes.now < end, "never came"
-        votes.run(MS)
+def run_until(
+    simulation: ReplicaSimulation, condition: Callable[[], object], span: int = 20 * SECOND
+) -> None:
+    """Runs the simulation until `condition` holds."""
+    end = simulation.now + span
+    while not condition():
+        assert simulation.now < end, "the condition never held"
+        simulation.run(MS)
 
 
-def sound(votes: ReplicaSimulation, keys: tuple[bytes, ...] = (KEY,)) -> None:
-    votes.run(5 * SECOND)
+def assert_linearizable(simulation: ReplicaSimulation, keys: tuple[bytes, ...] = (KEY,)) -> None:
+    simulation.run(5 * SECOND)
     for key in keys:
-        assert votes.read(key) is not None
-    assert not linearizability_violations(votes.history)
+        assert simulation.read(key) is not None
+    assert not linearizability_violations(simulation.history)
 
 
 @pytest.mark.parametrize(("first", "size"), [(1, 3), (5001, 5)])
-def test_drawn_days_are_linearizable_and_end_well(first: int, size: int) -> None:
+def test_randomized_runs_are_linearizable_and_recover(first: int, size: int) -> None:
     for seed in range(first, first + 40):
-        day = run_seed(seed, size)
-        assert not day.violations, (seed, day.violations)
+        run = run_seed(seed, size)
+        assert not run.violations, (seed, run.violations)
 
 
-def two_at_once(votes: ReplicaSimulation) -> None:
+def write_concurrently(simulation: ReplicaSimulation) -> None:
     for name in ("p0", "p1"):
-        votes.append_token(name, KEY)
-    votes.run(100 * MS)
-    votes.append_token("p0", KEY)
-    votes.run(2 * SECOND)
+        simulation.append_token(name, KEY)
+    simulation.run(100 * MS)
+    simulation.append_token("p0", KEY)
+    simulation.run(2 * SECOND)
 
 
 @pytest.mark.parametrize("copies", [0, 2])
-def test_each_single_message_is_lost_or_doubled_in_turn(copies: int) -> None:
-    votes = group()
-    before = votes.messages_sent
-    two_at_once(votes)
-    count = votes.messages_sent - before
+def test_each_single_message_is_lost_or_duplicated_in_turn(copies: int) -> None:
+    simulation = start_group()
+    before = simulation.messages_sent
+    write_concurrently(simulation)
+    count = simulation.messages_sent - before
     assert count > 20
     for number in range(1, count + 1):
-        votes = group()
-        start = votes.messages_sent
-        votes.copies_override = lambda n, a, b, at=start + number: copies if n == at else 1  # type: ignore[misc]
-        two_at_once(votes)
-        votes.copies_override = None
-        sound(votes)
-        assert all(asked.outcome == WRITTEN for asked in votes.history), number
+        simulation = start_group()
+        start = simulation.messages_sent
+        simulation.copies_override = lambda n, a, b, at=start + number: copies if n == at else 1  # type: ignore[misc]
+        write_concurrently(simulation)
+        simulation.copies_override = None
+        assert_linearizable(simulation)
+        assert all(operation.outcome == WRITTEN for operation in simulation.history), number
 
 
 @pytest.mark.parametrize("wipe", [False, True])
-def test_a_machine_is_lost_at_each_moment_of_an_operation_and_of_its_return(wipe: bool) -> None:
+def test_a_node_is_lost_at_each_moment_of_an_operation_and_returns(wipe: bool) -> None:
     for at in range(0, 6 * MS, 150):
         for name in ("p0", "p1"):
-            votes = group(at)
-            votes.append_token("p1", KEY)
-            votes.append_token("p2", KEY)
-            votes.run(at)
-            votes.crash(name, wipe)
-            votes.run(500 * MS)
-            votes.append_token("p2", KEY)
-            votes.start(name)
-            sound(votes)
-
-
-def test_two_lost_one_after_another_are_refused_of_three_and_borne_by_five() -> None:
-    votes = group()
-    votes.append_token("p2", KEY)
-    votes.run(100 * MS)
-    votes.crash("p0", wipe=True)
-    votes.crash("p1", wipe=True)
-    votes.start("p0", "p1")
-    votes.run(10 * SECOND)
-    began = votes.now
-    asked = [votes.append_token(name, KEY) for name in THREE]
-    votes.run(SECOND)
-    assert all(a and a.outcome == NO_QUORUM and a.ended - began <= 400 * MS for a in asked)
-    assert votes.running["p2"].acceptor.get(KEY)  # nothing is lost where it still is
-    again = votes.append_token("p2", KEY)
-    assert again and again.ended == votes.now  # known by now: refused at once
+            simulation = start_group(at)
+            simulation.append_token("p1", KEY)
+            simulation.append_token("p2", KEY)
+            simulation.run(at)
+            simulation.crash(name, wipe)
+            simulation.run(500 * MS)
+            simulation.append_token("p2", KEY)
+            simulation.start(name)
+            assert_linearizable(simulation)
+
+
+def test_losing_two_stores_in_turn_stops_three_voters_and_is_tolerated_by_five() -> None:
+    simulation = start_group()
+    simulation.append_token("p2", KEY)
+    simulation.run(100 * MS)
+    simulation.crash("p0", wipe=True)
+    simulation.crash("p1", wipe=True)
+    simulation.start("p0", "p1")
+    simulation.run(10 * SECOND)
+    began = simulation.now
+    operations = [simulation.append_token(name, KEY) for name in THREE]
+    simulation.run(SECOND)
+    assert all(a and a.outcome == NO_QUORUM and a.ended - began <= 400 * MS for a in operations)
+    assert simulation.running["p2"].acceptor.get(KEY)  # the remaining voter still holds the state
+    repeated = simulation.append_token("p2", KEY)
+    # The missing quorum is known by now, so the operation fails immediately.
+    assert repeated and repeated.ended == simulation.now
     five = [f"p{i}" for i in range(5)]
-    votes = group(names=five)
-    votes.append_token("p2", KEY)
-    votes.run(100 * MS)
+    simulation = start_group(names=five)
+    simulation.append_token("p2", KEY)
+    simulation.run(100 * MS)
     for name in ("p0", "p1"):
-        votes.crash(name, wipe=True)
-        votes.start(name)
-        asked_once = votes.append_token("p3", KEY)
-        votes.run(50 * MS)
-        assert asked_once and asked_once.outcome == WRITTEN
-    votes.run(10 * SECOND)
-    assert all(machine.is_voter for machine in votes.running.values())
-    sound(votes)
-
-
-def test_a_newcomer_counts_only_after_it_has_walked_a_majority_of_those_before() -> None:
-    votes = group()
+        simulation.crash(name, wipe=True)
+        simulation.start(name)
+        operation = simulation.append_token("p3", KEY)
+        simulation.run(50 * MS)
+        assert operation and operation.outcome == WRITTEN
+    simulation.run(10 * SECOND)
+    assert all(replica.is_voter for replica in simulation.running.values())
+    assert_linearizable(simulation)
+
+
+def test_a_joining_voter_counts_only_after_it_has_synchronized_with_a_majority_of_the_old_voters() -> None:
+    simulation = start_group()
     keys = [bytes([i + 1]) * 16 for i in range(120)]
     for i, key in enumerate(keys):
-        votes.append_token(THREE[i % 3], key)
-        votes.run(20 * MS)
-    votes.net.delay = 20 * MS  # so that the walk takes its time
-    votes.crash("p1", wipe=True)
-    votes.start("p1")
-    reach(votes, lambda: votes.running["p1"].config.old_voters)
-    assert votes.running["p1"].catchup.is_catching_up
-    votes.crash("p0")  # of those before only p2 is left: the change cannot end
-    votes.run(5 * SECOND)
-    assert votes.running["p1"].config.old_voters and votes.running["p1"].catchup.is_catching_up
-    votes.start("p0")
-    votes.run(60 * SECOND)
-    assert not votes.running["p1"].config.old_voters and len(votes.running["p1"].acceptor.registers) >= len(
-        keys
-    )
-    sound(votes, tuple(keys[:3]))
-
-
-def test_a_copy_that_lags_is_brought_up_to_date_by_what_differs_only() -> None:
-    votes = group()
+        simulation.append_token(THREE[i % 3], key)
+        simulation.run(20 * MS)
+    simulation.net.delay = 20 * MS  # so that the catch-up takes long enough to be interrupted
+    simulation.crash("p1", wipe=True)
+    simulation.start("p1")
+    run_until(simulation, lambda: simulation.running["p1"].config.old_voters)
+    assert simulation.running["p1"].catchup.is_catching_up
+    simulation.crash("p0")  # only p2 is left of the old voters: the change cannot end
+    simulation.run(5 * SECOND)
+    assert simulation.running["p1"].config.old_voters and simulation.running["p1"].catchup.is_catching_up
+    simulation.start("p0")
+    simulation.run(60 * SECOND)
+    assert not simulation.running["p1"].config.old_voters and len(
+        simulation.running["p1"].acceptor.registers
+    ) >= len(keys)
+    assert_linearizable(simulation, tuple(keys[:3]))
+
+
+def test_an_outdated_replica_fetches_only_the_registers_that_differ() -> None:
+    simulation = start_group()
     keys = [bytes([i + 1]) * 16 for i in range(60)]
     for key in keys[:50]:
-        votes.append_token("p0", key)
-        votes.run(10 * MS)
-    votes.crash("p2")
+        simulation.append_token("p0", key)
+        simulation.run(10 * MS)
+    simulation.crash("p2")
     for key in keys[50:]:
-        votes.append_token("p0", key)
-        votes.run(10 * MS)
-    votes.start("p2")
-    assert len(votes.running["p2"].acceptor.registers) <= 52
-    votes.run(30 * SECOND)
-    assert all(votes.running["p2"].acceptor.get(key) for key in keys)
-    assert votes.running["p2"].catchup.repaired_count <= 14
+        simulation.append_token("p0", key)
+        simulation.run(10 * MS)
+    simulation.start("p2")
+    assert len(simulation.running["p2"].acceptor.registers) <= 52
+    simulation.run(30 * SECOND)
+    assert all(simulation.running["p2"].acceptor.get(key) for key in keys)
+    assert simulation.running["p2"].catchup.repaired_count <= 14
 
 
 def test_a_group_grows_by_one_shrinks_by_one_and_replaces_one() -> None:
-    votes = group()
-    votes.append_token("p0", KEY)
-    votes.start("p3", "p4")
-    votes.run(2 * SECOND)
+    simulation = start_group()
+    simulation.append_token("p0", KEY)
+    simulation.start("p3", "p4")
+    simulation.run(2 * SECOND)
     for what, name, new, voters in (
         ("add", "p3", "", ["p0", "p1", "p2", "p3"]), ("add", "p4", "", ["p0", "p1", "p2", "p3", "p4"]),
         ("remove", "p1", "", ["p0", "p2", "p3", "p4"]), ("replace", "p2", "p1", ["p0", "p1", "p3", "p4"]),
     ):  # fmt: skip
-        assert votes.running["p0"].change_voters(votes.now, what, name, new) == ""
-        votes._process_output("p0")
-        votes.append_token("p4", KEY)
-        votes.run(5 * SECOND)
-        assert [v.name for v in votes.running["p0"].config.voters] == voters and not votes.running[
+        assert simulation.running["p0"].change_voters(simulation.now, what, name, new) == ""
+        simulation._process_output("p0")
+        simulation.append_token("p4", KEY)
+        simulation.run(5 * SECOND)
+        assert [v.name for v in simulation.running["p0"].config.voters] == voters and not simulation.running[
             "p0"
         ].config.old_voters
-    assert "no voter" in votes.running["p0"].change_voters(votes.now, "remove", "p2")
-    sound(votes)
-
-
-def test_a_full_disk_or_a_slow_one_does_not_set_the_pace() -> None:
-    votes = group()
-    votes.disks["p1"].delay = 300 * MS
-    asked = [votes.append_token(name, KEY) for name in ("p0", "p2", "p1")]
-    votes.run(250 * MS)
-    assert all(a and a.outcome == WRITTEN and a.ended - a.began < 100 * MS for a in asked)
-    votes.fill_disk("p2")
-    votes.append_token("p0", KEY)
-    votes.run(SECOND)
-    assert votes.running["p2"].store_failure
-    votes.disks["p1"].delay = 200
-    asked = [votes.append_token(name, KEY) for name in ("p0", "p2")]
-    votes.run(SECOND)
-    assert all(
-        a and a.outcome == WRITTEN for a in asked
-    )  # one that has no store any more still asks the others
-    votes.crash("p2")
-    votes.start("p2")
-    sound(votes)
-
-
-def test_a_minority_is_told_at_once_and_goes_on_when_the_cut_heals() -> None:
-    votes = group()
-    votes.net.partition("cut", ["p0"], ["p1", "p2"])
-    first = votes.append_token("p0", KEY)
-    votes.run(SECOND)
+    assert "no voter" in simulation.running["p0"].change_voters(simulation.now, "remove", "p2")
+    assert_linearizable(simulation)
+
+
+def test_one_full_or_slow_disk_does_not_slow_down_the_group() -> None:
+    simulation = start_group()
+    simulation.disks["p1"].delay = 300 * MS
+    operations = [simulation.append_token(name, KEY) for name in ("p0", "p2", "p1")]
+    simulation.run(250 * MS)
+    assert all(a and a.outcome == WRITTEN and a.ended - a.began < 100 * MS for a in operations)
+    simulation.fill_disk("p2")
+    simulation.append_token("p0", KEY)
+    simulation.run(SECOND)
+    assert simulation.running["p2"].store_failure
+    simulation.disks["p1"].delay = 200
+    operations = [simulation.append_token(name, KEY) for name in ("p0", "p2")]
+    simulation.run(SECOND)
+    # A proxy whose store has failed still proposes to the others.
+    assert all(a and a.outcome == WRITTEN for a in operations)
+    simulation.crash("p2")
+    simulation.start("p2")
+    assert_linearizable(simulation)
+
+
+def test_a_minority_fails_immediately_and_recovers_when_the_partition_heals() -> None:
+    simulation = start_group()
+    simulation.net.partition("cut", ["p0"], ["p1", "p2"])
+    first = simulation.append_token("p0", KEY)
+    simulation.run(SECOND)
     assert first and first.ended - first.began <= 400 * MS
-    second = votes.append_token("p0", KEY)
+    second = simulation.append_token("p0", KEY)
     assert second and second.outcome == NO_QUORUM and second.ended == second.began
-    there = votes.append_token("p1", KEY)
-    votes.run(100 * MS)
-    assert there and there.outcome == WRITTEN
-    votes.net.heal("cut")
-    votes.run(SECOND)
-    third = votes.append_token("p0", KEY)
-    votes.run(100 * MS)
+    by_majority = simulation.append_token("p1", KEY)
+    simulation.run(100 * MS)
+    assert by_majority and by_majority.outcome == WRITTEN
+    simulation.net.heal("cut")
+    simulation.run(SECOND)
+    third = simulation.append_token("p0", KEY)
+    simulation.run(100 * MS)
     assert third and third.outcome == WRITTEN
-    sound(votes)
+    assert_linearizable(simulation)
 
 
-def test_one_that_was_frozen_calls_nobody_silent_and_its_late_yes_harms_nothing() -> None:
-    votes = group()
-    votes.append_token("p0", KEY)
-    votes.run(200)
-    votes.freeze("p1")
-    votes.append_token("p2", KEY)
-    votes.run(3 * SECOND)
-    votes.unfreeze("p1")
-    assert not votes.running["p1"].unresponsive
-    sound(votes)
+def test_a_replica_that_was_frozen_marks_no_voter_unresponsive_and_its_late_replies_do_no_harm() -> None:
+    simulation = start_group()
+    simulation.append_token("p0", KEY)
+    simulation.run(200)
+    simulation.freeze("p1")
+    simulation.append_token("p2", KEY)
+    simulation.run(3 * SECOND)
+    simulation.unfreeze("p1")
+    assert not simulation.running["p1"].unresponsive
+    assert_linearizable(simulation)
 
 
-# ---------------------------------------------------------------- planted
+# ---------------------------------------------------------------- planted faults
 
 
-def test_a_wiped_voter_that_counts_is_found() -> None:
+def test_a_wiped_voter_that_keeps_its_store_id_is_detected() -> None:
     found = next(seed for seed in range(1, 60) if run_seed(seed, reuse_store_id=True).violations)
     assert not run_seed(found).violations
 
 
-TRAP = [Event(0, "ask", 0), Event(100 * MS, "trap", 0, SECOND, 0.9), Event(600 * MS, "ask", 0),
+WIPE_EVENTS = [Event(0, "ask", 0), Event(100 * MS, "trap", 0, SECOND, 0.9), Event(600 * MS, "ask", 0),
         Event(1_600 * MS, "ask", 2), Event(1_700 * MS, "ask", 2)]  # fmt: skip
 
 
-def test_the_least_day_of_a_wiped_voter_is_five_events_or_fewer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_smallest_failing_schedule_of_a_wiped_voter_has_at_most_five_events(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     assert (
-        run_seed(1, events=TRAP, reuse_store_id=True).violations and not run_seed(1, events=TRAP).violations
+        run_seed(1, events=WIPE_EVENTS, reuse_store_id=True).violations
+        and not run_seed(1, events=WIPE_EVENTS).violations
     )
-    monkeypatch.setattr(randomized_faults, "drawn", lambda seed, size: TRAP)
+    monkeypatch.setattr(randomized_faults, "drawn", lambda seed, size: WIPE_EVENTS)
     monkeypatch.setattr(
         randomized_faults,
         "run_seed",
         lambda seed, size, build, events: run_seed(seed, size, build, events, True),
     )
-    least, day = shrink(1, 3, None)
-    assert len(least) <= 4 and day.violations
+    events, run = shrink(1, 3, None)
+    assert len(events) <= 4 and run.violations
 
 
-class Hasty(Replica):
-    """Says yes before it is durable."""
+class PrematureReplica(Replica):
+    """A faulty replica that sends its replies before the records are durable."""
 
     @property
     def durable_index(self) -> int:  # type: ignore[override]
@@ -312,79 +317,81 @@
     def durable_index(self, value: int) -> None: ...
 
 
-def test_a_yes_before_the_sync_is_found() -> None:
+def test_a_reply_before_the_sync_is_detected() -> None:
     def build(name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
-        return Hasty(name, store, THREE, now, rng, founding=founding)
+        return PrematureReplica(name, store, THREE, now, rng, founding=founding)
 
-    def lost(build: object) -> bool:
+    def violates(build: object) -> bool:
         for seed in range(20):
-            votes = ReplicaSimulation(seed, THREE, build=build)  # type: ignore[arg-type]
-            votes.start(*THREE)
-            votes.run(2 * SECOND)
-            asked = votes.append_token("p0", KEY)
+            simulation = ReplicaSimulation(seed, THREE, build=build)  # type: ignore[arg-type]
+            simulation.start(*THREE)
+            simulation.run(2 * SECOND)
+            operation = simulation.append_token("p0", KEY)
             for _ in range(2_000):
-                if asked and not asked.ended:
-                    votes.run(20)
+                if operation and not operation.ended:
+                    simulation.run(20)
             for name in THREE:
-                votes.crash(name)
-            votes.start(*THREE)
-            votes.run(3 * SECOND)
-            votes.read(KEY)
-            if linearizability_violations(votes.history):
+                simulation.crash(name)
+            simulation.start(*THREE)
+            simulation.run(3 * SECOND)
+            simulation.read(KEY)
+            if linearizability_violations(simulation.history):
                 return True
         return False
 
-    assert lost(build) and not lost(None)
+    assert violates(build) and not violates(None)
 
 
 @pytest.mark.parametrize("kind", ["one", "new"])
-def test_a_majority_of_the_wrong_group_is_found(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One voter of any; or the new voters alone while the group changes."""
-    wrong = {
+def test_a_wrong_quorum_rule_is_detected(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Faulty quorum rules: any single voter, or only the new voters during a joint configuration."""
+    faulty_rule = {
         "one": lambda config, some: any(v in some for v in config.voters),
         "new": lambda config, some: is_quorum(GroupConfig(config.epoch, config.voters), some),
     }[kind]
 
-    def broken() -> bool:
+    def violates() -> bool:
         for seed in range(1, 8):
-            votes = group(seed)
-            votes.append_token("p0", KEY)
-            votes.run(SECOND)
-            votes.net.partition("a", ["p2"], ["p0", "p1"])
-            votes.append_token("p0", KEY)
-            votes.append_token("p2", KEY)
-            votes.run(SECOND)
-            votes.crash("p1", wipe=True)  # the last write is at p0 alone
-            votes.net.heal("a")
-            votes.start("p1")
-            reach(votes, lambda v=votes: v.running["p1"].config.old_voters)  # type: ignore[misc]
-            votes.net.partition("c", ["p0"], ["p1", "p2"])
-            votes.append_token("p2", KEY)
-            votes.run(SECOND)
-            votes.net.partitions.clear()
-            votes.run(5 * SECOND)
-            votes.read(KEY)
-            if linearizability_violations(votes.history):
+            simulation = start_group(seed)
+            simulation.append_token("p0", KEY)
+            simulation.run(SECOND)
+            simulation.net.partition("a", ["p2"], ["p0", "p1"])
+            simulation.append_token("p0", KEY)
+            simulation.append_token("p2", KEY)
+            simulation.run(SECOND)
+            simulation.crash("p1", wipe=True)  # only p0 holds the last write
+            simulation.net.heal("a")
+            simulation.start("p1")
+            run_until(simulation, lambda v=simulation: v.running["p1"].config.old_voters)  # type: ignore[misc]
+            simulation.net.partition("c", ["p0"], ["p1", "p2"])
+            simulation.append_token("p2", KEY)
+            simulation.run(SECOND)
+            simulation.net.partitions.clear()
+            simulation.run(5 * SECOND)
+            simulation.read(KEY)
+            if linearizability_violations(simulation.history):
                 return True
         return False
 
-    assert not broken()
-    monkeypatch.setattr(machines, "is_quorum", wrong)
-    assert broken()
+    assert not violates()
+    monkeypatch.setattr(replica_module, "is_quorum", faulty_rule)
+    assert violates()
 
 
-# ---------------------------------------------------------------- the parts
+# ---------------------------------------------------------------- units
 
 
-def prepare(acceptor: Acceptor, counter: int, by: int = 1, now_s: int = 0) -> Promise | Rejected:
-    return acceptor.prepare(now_s, Prepare(1, 1, KEY, Ballot(counter, by)))[0]
+def prepare(acceptor: Acceptor, counter: int, proposer: int = 1, now_s: int = 0) -> Promise | Rejected:
+    return acceptor.prepare(now_s, Prepare(1, 1, KEY, Ballot(counter, proposer)))[0]
 
 
 def accept(
-    acceptor: Acceptor, counter: int, value: bytes, by: int = 1, until: int = 0
+    acceptor: Acceptor, counter: int, value: bytes, proposer: int = 1, expires_at_s: int = 0
 ) -> Accepted | Rejected:
-    ballot = Ballot(counter, by)
-    return acceptor.accept(Accept(1, 1, RegisterState(KEY, ballot, until, value), Ballot(counter + 1, by)))[0]
+    ballot = Ballot(counter, proposer)
+    return acceptor.accept(
+        Accept(1, 1, RegisterState(KEY, ballot, expires_at_s, value), Ballot(counter + 1, proposer))
+    )[0]
 
 
 def test_after_a_restart_every_ballot_that_may_have_been_promised_is_refused() -> None:
@@ -399,18 +406,18 @@
     assert isinstance(prepare(second, ceiling.counter + 1), Promise)
 
 
-def test_what_is_known_through_another_is_no_vote_against_a_promise() -> None:
+def test_a_state_merged_from_another_voter_does_not_override_a_promise() -> None:
     acceptor = Acceptor(10)
-    assert isinstance(prepare(acceptor, 9, by=2), Promise)
+    assert isinstance(prepare(acceptor, 9, proposer=2), Promise)
     acceptor.merge(RegisterState(KEY, Ballot(7, 1), 0, b"a"), 0)
-    assert isinstance(accept(acceptor, 7, b"a"), Rejected)  # asked for by who has been overtaken
+    assert isinstance(accept(acceptor, 7, b"a"), Rejected)  # its proposer was overtaken by ballot 9
     found = prepare(acceptor, 11)
     assert isinstance(found, Promise) and found.accepted == Ballot(7, 1) and found.value == b"a"
 
 
-def test_what_was_forgotten_is_never_undercut_and_a_counter_beyond_all_is_refused() -> None:
+def test_removed_registers_need_higher_ballots_and_an_implausible_counter_is_rejected() -> None:
     acceptor = Acceptor(10)
-    assert isinstance(accept(acceptor, 50, b"a", until=1000), Accepted)
+    assert isinstance(accept(acceptor, 50, b"a", expires_at_s=1000), Accepted)
     assert acceptor.expire(1000 + CLOCK_SKEW_S) == 0
     assert acceptor.expire(1000 + CLOCK_SKEW_S + 200) == 1 and not acceptor.registers
     assert acceptor.range_digests == [0] * len(acceptor.range_digests)
@@ -420,7 +427,7 @@
     assert isinstance(prepare(acceptor, 60, now_s=9999), Promise)
 
 
-def test_what_was_promised_and_never_written_is_forgotten_and_makes_room() -> None:
+def test_a_register_that_was_promised_but_never_written_expires_and_makes_room() -> None:
     acceptor = Acceptor(1)
     assert isinstance(prepare(acceptor, 5), Promise)
     assert acceptor.expire(CLOCK_SKEW_S) == 0 and acceptor.registers
@@ -432,28 +439,28 @@
 def test_no_more_registers_than_there_is_room_for() -> None:
     acceptor = Acceptor(3)
     for i in range(5):
-        row = RegisterState(bytes([i + 1]) * 16, Ballot(1, 1), 0, b"a")
-        answer = acceptor.accept(Accept(1, 1, row, Ballot(2, 1)))[0]
-        assert isinstance(answer, Accepted) == (i < 3)
+        state = RegisterState(bytes([i + 1]) * 16, Ballot(1, 1), 0, b"a")
+        reply = acceptor.accept(Accept(1, 1, state, Ballot(2, 1)))[0]
+        assert isinstance(reply, Accepted) == (i < 3)
     assert (
         len(acceptor.registers) == 3
         and len([r for r in acceptor.pending_records if isinstance(r, StateAccepted)]) == 3
     )
 
 
-def test_groups_change_one_step_at_a_time_and_every_two_that_follow_share_a_voter() -> None:
+def test_configurations_change_one_step_at_a_time_and_consecutive_ones_share_a_quorum_voter() -> None:
     a, b, c, d = (Voter(name, i + 1) for i, name in enumerate("abcd"))
-    one = GroupConfig(1, (a, b, c))
-    change = with_voter_replaced(one, "c", d)
-    assert joining_voters(change) == (d,) and change.old_voters == one.voters
+    initial = GroupConfig(1, (a, b, c))
+    change = with_voter_replaced(initial, "c", d)
+    assert joining_voters(change) == (d,) and change.old_voters == initial.voters
     assert not is_quorum(change, {a, d}) and not is_quorum(change, {a, c}) and is_quorum(change, {a, b})
-    for step in (lambda: with_voter_added(change, c), lambda: with_voter_removed(change, "a"), lambda: finalized(one),
-                 lambda: with_voter_replaced(change, "a", Voter("a", 9))):  # fmt: skip
+    for step in (lambda: with_voter_added(change, c), lambda: with_voter_removed(change, "a"),
+                 lambda: finalized(initial), lambda: with_voter_replaced(change, "a", Voter("a", 9))):  # fmt: skip
         with pytest.raises(ReconfigurationError):
             step()
-    again = with_voter_replaced(change, "d", Voter("d", 7))  # the newcomer was lost in the middle
-    assert again.old_voters == one.voters and again.epoch == 3
-    assert finalized(again) == GroupConfig(4, (a, b, Voter("d", 7)))
+    replaced = with_voter_replaced(change, "d", Voter("d", 7))  # the joining voter was lost during the change
+    assert replaced.old_voters == initial.voters and replaced.epoch == 3
+    assert finalized(replaced) == GroupConfig(4, (a, b, Voter("d", 7)))
 
 
 @settings(max_examples=300, deadline=None)
@@ -470,52 +477,55 @@
 KEYS = st.sampled_from([KEY, CONFIG_KEY, b"a" * 16])
 VOTERS = st.lists(st.builds(Voter, st.sampled_from(THREE), st.integers(0, 3)), max_size=4).map(tuple)
 CONFIGS = st.builds(GroupConfig, st.integers(0, 2**63 - 1), VOTERS, VOTERS)
-ROWS = st.builds(
+STATES = st.builds(
     RegisterState, KEYS, BALLOTS, st.integers(0, 2**40), st.one_of(st.binary(max_size=20), CONFIGS.map(pack))
 )
-SMALL, LARGE = st.integers(0, 3), st.integers(0, 2**63 - 1)
-SAID = st.one_of(
-    st.builds(Prepare, SMALL, SMALL, KEYS, BALLOTS),
-    st.builds(Promise, SMALL, BALLOTS, BALLOTS, LARGE, st.binary(max_size=9)),
-    st.builds(Accept, SMALL, SMALL, ROWS, BALLOTS), st.builds(Accepted, SMALL, BALLOTS),
-    st.builds(Rejected, SMALL, BALLOTS, LARGE, st.integers(0, 5), LARGE),
-    st.builds(ConfigRequest, LARGE, st.booleans()),
+SMALL_INTS, LARGE_INTS = st.integers(0, 3), st.integers(0, 2**63 - 1)
+MESSAGES = st.one_of(
+    st.builds(Prepare, SMALL_INTS, SMALL_INTS, KEYS, BALLOTS),
+    st.builds(Promise, SMALL_INTS, BALLOTS, BALLOTS, LARGE_INTS, st.binary(max_size=9)),
+    st.builds(Accept, SMALL_INTS, SMALL_INTS, STATES, BALLOTS), st.builds(Accepted, SMALL_INTS, BALLOTS),
+    st.builds(Rejected, SMALL_INTS, BALLOTS, LARGE_INTS, st.integers(0, 5), LARGE_INTS),
+    st.builds(ConfigRequest, LARGE_INTS, st.booleans()),
     st.builds(ConfigResponse, CONFIGS),
-    st.builds(RangeDigests, SMALL, st.booleans(), st.lists(LARGE, min_size=64, max_size=64)),
-    st.builds(KeysRequest, SMALL, st.integers(0, 63), st.binary(max_size=16)),
+    st.builds(RangeDigests, SMALL_INTS, st.booleans(), st.lists(LARGE_INTS, min_size=64, max_size=64)),
+    st.builds(KeysRequest, SMALL_INTS, st.integers(0, 63), st.binary(max_size=16)),
     st.builds(
-        KeysResponse, SMALL, st.integers(0, 63), st.binary(max_size=16), st.lists(st.tuples(KEYS, BALLOTS), max_size=3),
-        st.booleans(),
+        KeysResponse, SMALL_INTS, st.integers(0, 63), st.binary(max_size=16),
+        st.lists(st.tuples(KEYS, BALLOTS), max_size=3), st.booleans(),
     ),
     st.builds(StatesRequest, st.lists(KEYS, max_size=3)),
-    st.builds(StatesResponse, st.lists(ROWS, max_size=2), st.lists(KEYS, max_size=2)),
+    st.builds(StatesResponse, st.lists(STATES, max_size=2), st.lists(KEYS, max_size=2)),
     st.builds(Heartbeat, st.booleans()),
 )  # fmt: skip
 
 
 @settings(max_examples=150, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(["p1", "p2", "p9"]), LARGE, st.lists(SAID, max_size=3)), max_size=12)
+    st.lists(
+        st.tuples(st.sampled_from(["p1", "p2", "p9"]), LARGE_INTS, st.lists(MESSAGES, max_size=3)),
+        max_size=12,
+    )
 )
-def test_whatever_another_says_under_a_good_key_raises_nothing(
+def test_no_authenticated_message_raises_an_exception(
     said: list[tuple[str, int, list[Message]]],
 ) -> None:
-    machine = Replica("p0", 1, THREE, 0, Random(1), founding=True)
+    replica = Replica("p0", 1, THREE, 0, Random(1), founding=True)
     now = 10**15
     for sender, store, items in said:
-        machine.receive(now, sender, unpack(pack(MessageBatch(store, items))))
-        machine.propose(now, KEY, lambda found: found[:100] + b"x")
-        records, _, _ = machine.drain_output()
-        machine.mark_durable(now, machine.durable_index + len(records))
+        replica.receive(now, sender, unpack(pack(MessageBatch(store, items))))
+        replica.propose(now, KEY, lambda found: found[:100] + b"x")
+        records, _, _ = replica.drain_output()
+        replica.mark_durable(now, replica.durable_index + len(records))
         now += 100_000
-        machine.advance(now)
-    assert len(machine.acceptor.registers) <= 3 and machine.config.epoch < 2**30
+        replica.advance(now)
+    assert len(replica.acceptor.registers) <= 3 and replica.config.epoch < 2**30
 
 
 def test_an_answer_of_a_version_before_is_read_past_and_a_change_may_leave_things_as_they_are() -> None:
     longer = pack(MessageBatch(5, [Accepted(1, Ballot(1, 1))]))
     assert unpack(longer).messages == [Accepted(1, Ballot(1, 1))]
-    votes = group()
+    votes = start_group()
     number = votes.running["p0"].propose(votes.now, KEY, lambda found: None)
     results = []
     machine = votes.running["p0"]
