--- a/slatehub/copies/catchup.py
+++ b/slatehub/copies/catchup.py
@@ -2,8 +2,8 @@
 registers are fetched, with one request at a time. Pure.
 
 This module decides when a joining voter has caught up: after it has synchronized with a majority of the previous
-voters, each of which already knows the joint configuration. From then on nothing is decided without a majority of both
-the old and the new voters (see `reconfiguration`)."""
+voters, each of which has already adopted the joint configuration. From then on nothing is decided without a majority of
+both the old and the new voters (see `reconfiguration`)."""
 
 from __future__ import annotations
 
@@ -165,7 +165,7 @@
         if session is None or session.source != voter or isinstance(message, (StatesRequest, KeysRequest)):
             return
         if isinstance(message, (RangeDigests, KeysResponse)) and message.epoch < self.replica.config.epoch:
-            # While the other voter does not know this configuration, its registers may change without this voter.
+            # Until the other voter has adopted this configuration, its registers may change without this voter.
             self.replica._send(voter.name, ConfigResponse(self.replica.config))
             return
         if isinstance(message, (RangeDigests, KeysResponse)) and message.epoch > self.replica.config.epoch:
--- a/slatehub/copies/replica.py
+++ b/slatehub/copies/replica.py
@@ -5,7 +5,7 @@
 
 An operation reads a register at a quorum (prepare), applies its change function and writes at a quorum (accept). Each
 accept also carries the proposer's next ballot as a promise, so a proposer that has just written a register can write it
-again without the prepare phase. There is no leader: when a node is lost, the others continue without a pause."""
+again without the prepare phase. There is no leader: when a proxy is lost, the others continue without a pause."""
 
 from __future__ import annotations
 
@@ -82,9 +82,7 @@
     operation_limit_us: int = 400 * MS  # for a whole operation
     heartbeat_us: int = 200 * MS  # between two heartbeats to an unresponsive voter
     config_request_us: int = 300 * MS  # between two requests for the group configuration while it is unknown
-    first_backoff_us: int = (
-        4 * MS
-    )  # upper limit of the random delay after the first conflict; doubles each time
+    first_backoff_us: int = 4 * MS  # maximum random delay after the first conflict; doubles each time
     max_backoff_us: int = 64 * MS
     repair_us: int = 5 * SECOND  # between two comparisons with another voter
     rejoin_us: int = 500 * MS  # minimum before a proxy that lost its store asks to join as a new voter
@@ -565,7 +563,7 @@
 
     def _create_group(self, now: int) -> None:
         """The first founder creates the group once all founders are present and none has ever been in a group. This way
-        a node that lost its disk cannot create a second group beside the first."""
+        a proxy that lost its disk cannot create a second group beside the first."""
         if not self.founding or self.self_voter.name != self.founders[0]:
             return
         present = {
--- a/slatehub/store/files.py
+++ b/slatehub/store/files.py
@@ -47,7 +47,7 @@
         """Makes all created, replaced and removed names so far durable."""
 
     def identity(self) -> str:
-        """A copy of the folder has another identity: guards against two nodes that vote with the same store."""
+        """A copy of the folder has another identity: guards against two proxies that vote with the same store."""
 
     def close(self) -> None: ...
 
--- a/slatehub/store/write_ahead_log.py
+++ b/slatehub/store/write_ahead_log.py
@@ -99,7 +99,7 @@
         return found
 
     def _create_store(self, found: RecoveryResult, names: list[str]) -> None:
-        """Creates a new store, also in place of an unreadable one, which the other nodes will fill again."""
+        """Creates a new store, also in place of an unreadable one, which the other voters will fill again."""
         found.is_new = not found.damage
         first = max([0, *self._segment_numbers(names)]) + 1
         self.manifest = Manifest(FORMAT, new_store_id(), self.files.identity(), first)
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("wipe", [False, True])
-def test_a_node_is_lost_at_each_moment_of_an_operation_and_returns(wipe: bool) -> None:
+def test_a_proxy_is_lost_at_each_moment_of_an_operation_and_returns(wipe: bool) -> None:
     for at in range(0, 6 * MS, 150):
         for name in ("p0", "p1"):
             simulation = start_group(at)
