--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -26,7 +26,15 @@
     read_response,
     running_proxy,
 )
-from test_line import LAST, WHOLE, Script, Stand, listen, rest, room_for
+from test_line import (
+    CLOSING_RESPONSE,
+    RESPONSE,
+    DispatcherRig,
+    ScriptedBalancer,
+    make_pool,
+    open_listener,
+    run_event_loop,
+)
 
 from paddlestep.interface import Outcome, Send, Status
 
@@ -128,41 +136,41 @@
 ) -> None:
     """On a new connection, and on one that has carried a request before: there the last byte is kept until the node has
     had its say, and if it has gone by then the request goes by another connection, as it never ran."""
-    with listen() as peer:
+    with open_listener() as peer:
         sends = [Send(n, 1) for n in range(1, 200)]
-        module = Script(*sum(([send, []] for send in sends), []))
-        stand = Stand(module)
-        room = room_for(stand, peer)
+        module = ScriptedBalancer(*sum(([send, []] for send in sends), []))
+        stand = DispatcherRig(module)
+        room = make_pool(stand, peer)
         size, length = 0, 1
         while size < length:
             conn = None
             if used:
-                stand.job(f"before-{size}")
-                rest()
+                stand.submit_job(f"before-{size}")
+                run_event_loop()
                 room.send(stand.attempts[-1])
                 conn, _ = peer.accept()
                 length = len(conn.recv(1000))
-                conn.sendall(WHOLE)
+                conn.sendall(RESPONSE)
                 while not stand.attempts[-1].finished:
                     gevent.sleep(0)
-                rest()
-            stand.job(f"cut-{size}")
-            rest()
+                run_event_loop()
+            stand.submit_job(f"cut-{size}")
+            run_event_loop()
             attempt = stand.attempts[-1]
             room.send(attempt)
             if conn is None:
                 conn, _ = peer.accept()
                 length = max(length, 60)
             got = cut(conn, size, how)
-            rest()
+            run_event_loop()
             wholes = 0
             while not attempt.finished:
                 if gevent.select.select([peer], [], [], 0.005)[0]:
                     other, _ = peer.accept()  # it goes by another one
                     wholes += other.recv(1000).endswith(b"\r\n\r\n")
-                    other.sendall(LAST)
+                    other.sendall(CLOSING_RESPONSE)
                     other.close()
-            rest()
+            run_event_loop()
             ended = [e.status for e in module.events if isinstance(e, Outcome)][-1]
             assert len(got) == size and not got.endswith(b"\r\n\r\n")
             assert (ended is Status.OK) == (wholes == 1) and ended in (Status.OK, Status.RESET)
--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -1,4 +1,5 @@
-"""Error paths, timers and fallbacks that no day reaches: each is entered once, and what comes after it works."""
+"""Error paths, timers and fallbacks that load tests do not reach: each is entered once, and the next operation must
+work."""
 
 from __future__ import annotations
 
@@ -15,7 +16,15 @@
 from audit import at_rest
 from gevent import socket
 from proxy_rig import SAFE_CLASS, build_request, running_proxy, wait_until
-from test_line import Script, Stand, hall_for, listen, rest, room_for, screen_for
+from test_line import (
+    DispatcherRig,
+    ScriptedBalancer,
+    connect_caller,
+    make_pool,
+    make_server,
+    open_listener,
+    run_event_loop,
+)
 from test_program import run
 
 from paddlestep.interface import Entry, ListKind, Send, Status
@@ -23,12 +32,12 @@
 from slatehub.core.stages import JobTable, Route
 from slatehub.decisions.maintenance import Maintenance
 from slatehub.discovery.node_list import NodeList
-from slatehub.drivers import pipe as pipes
+from slatehub.drivers import pipe as pipe_module
 from slatehub.drivers.pipe import Pipe, ReaderClosed
 from slatehub.fronts.http1 import server
 from slatehub.handover.link import ProcessLink
 from slatehub.handover.messages import MessageDecoder
-from slatehub.mgmt import server as operators
+from slatehub.mgmt import server as admin_server_module
 from slatehub.mgmt.routes import AdminRequest, AdminResponse
 from slatehub.mgmt.server import AdminServer
 from slatehub.mgmt.state import StateFile
@@ -39,135 +48,140 @@
 
 
 def test_a_pipe_whose_other_side_stalls_or_leaves_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pipes, "STALL_TIMEOUT_S", 0.01)
-    left: list[int] = []
-    pipe = Pipe(lambda: left.append(1))
+    monkeypatch.setattr(pipe_module, "STALL_TIMEOUT_S", 0.01)
+    closed: list[int] = []
+    pipe = Pipe(lambda: closed.append(1))
     assert (
         pipe.read_chunk() is None and pipe.read_chunk() is None
-    )  # nothing comes: it has broken off, for good
-    pipe = Pipe(lambda: left.append(2))
+    )  # no chunk arrives: the body counts as cut off, for good
+    pipe = Pipe(lambda: closed.append(2))
     pipe.write_chunk(b"a")
     with pytest.raises(ReaderClosed):
-        pipe.write_chunk(b"b")  # nobody takes the one before
-    assert left == [2]
-    for give in (lambda: pipe.write_chunk(b"c"), pipe.finish):
+        pipe.write_chunk(b"b")  # the previous chunk is not read
+    assert closed == [2]
+    for operation in (lambda: pipe.write_chunk(b"c"), pipe.finish):
         with pytest.raises(ReaderClosed):
-            give()
-    pipe.abort()  # it may break off as well
+            operation()
+    pipe.abort()  # allowed after the reader has closed
     assert pipe.read_chunk() == b"a"
 
 
-def test_nodes_out_by_hand_that_cannot_be_kept_are_out_all_the_same(
+def test_maintenance_that_cannot_be_saved_is_in_force_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path / "gone"))
-    held = Maintenance()
-    held.start_maintenance("s-1", True, 5)
+    maintenance = Maintenance()
+    maintenance.start_maintenance("s-1", True, 5)
     state = StateFile("n0")
-    state.save(held)
-    state.load(into := Maintenance())
-    assert held.started_at and not into.started_at
+    state.save(maintenance)
+    state.load(loaded := Maintenance())
+    assert maintenance.started_at and not loaded.started_at
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     blocked = StateFile("n1")
-    blocked.path.mkdir()  # in the place of the file
+    blocked.path.mkdir()  # a directory where the file would be
     (blocked.path / "x").touch()
-    blocked.save(held)
-    blocked.load(into)
-    assert not into.started_at and not [f for f in tmp_path.iterdir() if f != blocked.path]
+    blocked.save(maintenance)
+    blocked.load(loaded)
+    assert not loaded.started_at and not [f for f in tmp_path.iterdir() if f != blocked.path]
 
 
 def test_a_send_for_a_job_that_is_over_goes_nowhere() -> None:
     assert Route(JobTable())(Send(7, 1), 5) is None
 
 
-# ---------------------------------------------------------------- desk and screens
+# ---------------------------------------------------------------- dispatcher and caller connections
 
 
-def test_a_floor_that_cannot_start_an_attempt_leaves_nobody_waiting() -> None:
-    stand = Stand()
-    stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1), Entry(2)))
-    sound = stand.send
+def test_a_transport_that_cannot_start_an_attempt_leaves_no_caller_waiting() -> None:
+    rig = DispatcherRig()
+    rig.driver.update_nodes(ListKind.FULL, 1, (Entry(1), Entry(2)))
+    original_send = rig.send
 
     def broken(attempt: Attempt) -> None:
         raise MemoryError("no greenlet")
 
-    stand.send = broken  # type: ignore[method-assign]
-    stand.job("a")
-    rest()
-    stand.send = sound  # type: ignore[method-assign]
-    assert [a.status for _, a in stand.answers] == [AnswerStatus.FAILED]
-    stand.job("b")
-    rest()
-    stand.desk.attempt_ended(stand.attempts[-1], Status.OK, (), "print")
-    rest()
-    assert stand.answers[-1] == ("b", Answer(AnswerStatus.SERVED, "print"))
-    at_rest(stand.core)
+    rig.send = broken  # type: ignore[method-assign]
+    rig.submit_job("a")
+    run_event_loop()
+    rig.send = original_send  # type: ignore[method-assign]
+    assert [a.status for _, a in rig.answers] == [AnswerStatus.FAILED]
+    rig.submit_job("b")
+    run_event_loop()
+    rig.driver.attempt_ended(rig.attempts[-1], Status.OK, (), "print")
+    run_event_loop()
+    assert rig.answers[-1] == ("b", Answer(AnswerStatus.SERVED, "print"))
+    at_rest(rig.dispatcher)
 
 
-ASK = b"POST /orders HTTP/1.1\r\nX-Request-ID: %s\r\nX-Priority-Class: orders\r\nX-Timeout: 9000m\r\n\r\n"
+REQUEST = b"POST /orders HTTP/1.1\r\nX-Request-ID: %s\r\nX-Priority-Class: orders\r\nX-Timeout: 9000m\r\n\r\n"
 
 
 @pytest.mark.parametrize("where", ["order", "check"])
-def test_a_fault_of_our_own_is_a_500_and_the_next_request_is_served(
+def test_an_internal_error_is_a_500_and_the_next_request_is_served(
     where: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stand = Stand()
-    stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1),))
-    hall = hall_for(stand)
+    rig = DispatcherRig()
+    rig.driver.update_nodes(ListKind.FULL, 1, (Entry(1),))
+    http_server = make_server(rig)
 
     def fails(*_: Any) -> Any:
         raise ZeroDivisionError("planted")
 
     with monkeypatch.context() as planted:
         if where == "order":
-            planted.setattr(stand.core.recovery, "job_arrived", fails)
+            planted.setattr(rig.dispatcher.recovery, "job_arrived", fails)
         else:
             planted.setattr(server, "validate_request", fails)
-        caller, screen = screen_for(hall, ASK % b"a")
-        assert caller.recv(1000).startswith(b"HTTP/1.1 500 ") and not stand.desk.job_table.jobs
-    caller.sendall(ASK % b"b")
-    while not stand.attempts:
+        caller, connection = connect_caller(http_server, REQUEST % b"a")
+        assert caller.recv(1000).startswith(b"HTTP/1.1 500 ") and not rig.driver.job_table.jobs
+    caller.sendall(REQUEST % b"b")
+    while not rig.attempts:
         gevent.sleep(0.001)
-    stand.desk.attempt_ended(stand.attempts[0], Status.ERROR)
+    rig.driver.attempt_ended(rig.attempts[0], Status.ERROR)
     assert caller.recv(1000).startswith(b"HTTP/1.1 500 ")
     caller.close()
-    while hall.connections:
+    while http_server.connections:
         gevent.sleep(0.001)
-    at_rest(stand.core)
+    at_rest(rig.dispatcher)
 
 
 def test_a_fault_while_reading_ends_that_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    stand = Stand()
-    hall = hall_for(stand)
-    caller, screen = screen_for(hall, b"")
-    monkeypatch.setattr(screen.parser, "feed", lambda data: 1 // 0)
+    rig = DispatcherRig()
+    http_server = make_server(rig)
+    caller, connection = connect_caller(http_server, b"")
+    monkeypatch.setattr(connection.parser, "feed", lambda data: 1 // 0)
     caller.sendall(b"x")
-    assert caller.recv(10) == b"" and screen.closed and not hall.connections and hall.bytes_held == 0
+    assert (
+        caller.recv(10) == b""
+        and connection.closed
+        and not http_server.connections
+        and http_server.bytes_held == 0
+    )
 
 
-def test_an_answer_that_no_machine_printed_is_a_failure() -> None:
-    stand = Stand()
-    stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1),))
-    caller, _ = screen_for(hall_for(stand), ASK % b"a")
-    while not stand.attempts:
+def test_an_answer_without_a_node_response_is_a_failure() -> None:
+    rig = DispatcherRig()
+    rig.driver.update_nodes(ListKind.FULL, 1, (Entry(1),))
+    caller, _ = connect_caller(make_server(rig), REQUEST % b"a")
+    while not rig.attempts:
         gevent.sleep(0.001)
-    stand.desk.attempt_ended(stand.attempts[0], Status.OK, (), "no print")
+    rig.driver.attempt_ended(rig.attempts[0], Status.OK, (), "no print")
     assert caller.recv(1000).startswith(b"HTTP/1.1 500 ")
     caller.close()
 
 
-# ---------------------------------------------------------------- the operators' address
+# ---------------------------------------------------------------- the admin listener
 
 
-class Short:
-    """A listener that finds no descriptor twice."""
+class ExhaustedListener:
+    """A listener whose first two calls of `accept` fail for lack of descriptors."""
 
     def __init__(self) -> None:
-        self.sock, self.turns = listen(), 0
+        self.sock, self.attempts = open_listener(), 0
 
     def accept(self) -> Any:
-        self.turns += 1
-        if self.turns < 3:
+        self.attempts += 1
+        if self.attempts < 3:
             raise OSError(errno.EMFILE, "planted")
         return self.sock.accept()
 
@@ -175,66 +189,67 @@
         return getattr(self.sock, name)
 
 
-def called(place: Any, raw: bytes) -> bytes:
-    with socket.create_connection(place.getsockname()) as conn:
+def admin_call(listener: Any, raw: bytes) -> bytes:
+    with socket.create_connection(listener.getsockname()) as conn:
         conn.sendall(raw)
         return conn.recv(1000)
 
 
-def test_an_operators_call_that_fails_is_a_no_and_the_next_one_is_heard(
+def test_an_admin_call_that_fails_is_a_500_and_the_next_one_works(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    asked: list[str] = []
+    operations: list[str] = []
 
-    def act(call: AdminRequest) -> AdminResponse:
-        asked.append(call.operation)
-        if len(asked) == 1:
+    def handle(call: AdminRequest) -> AdminResponse:
+        operations.append(call.operation)
+        if len(operations) == 1:
             raise ValueError("planted")
         return AdminResponse(200, "yes")
 
-    desk, place = AdminServer(act), listen()
-    desk.open(place)
+    admin_server, listener = AdminServer(handle), open_listener()
+    admin_server.open(listener)
     health = b"%b /healthcheck HTTP/1.1\r\n\r\n"
-    assert called(place, health % b"GET").startswith(b"HTTP/1.1 500 ")
-    assert called(place, health % b"HEAD").endswith(b"\r\n\r\n")
-    monkeypatch.setattr(operators, "MAX_CONNECTIONS", 2)
-    mute = [socket.create_connection(place.getsockname()) for _ in range(5)]
-    assert called(place, health % b"GET").startswith(b"HTTP/1.1 200 ")
-    assert any(conn.recv(1) == b"" for conn in mute[:3])
-    for conn in mute:
+    assert admin_call(listener, health % b"GET").startswith(b"HTTP/1.1 500 ")
+    assert admin_call(listener, health % b"HEAD").endswith(b"\r\n\r\n")
+    monkeypatch.setattr(admin_server_module, "MAX_CONNECTIONS", 2)
+    silent = [socket.create_connection(listener.getsockname()) for _ in range(5)]
+    assert admin_call(listener, health % b"GET").startswith(b"HTTP/1.1 200 ")
+    assert any(conn.recv(1) == b"" for conn in silent[:3])
+    for conn in silent:
         conn.close()
-    desk.open(None)
-    assert desk.listener is None
+    admin_server.open(None)
+    assert admin_server.listener is None
     with pytest.raises(OSError):
-        called(place, b"")
+        admin_call(listener, b"")
 
 
-def test_no_descriptor_for_an_operator_is_waited_out() -> None:
-    desk, place = AdminServer(lambda call: AdminResponse(200, "yes")), Short()
-    door = gevent.spawn(desk._accept, place)
+def test_the_admin_listener_waits_while_no_descriptor_is_free() -> None:
+    admin_server, listener = AdminServer(lambda call: AdminResponse(200, "yes")), ExhaustedListener()
+    acceptor = gevent.spawn(admin_server._accept, listener)
     assert (
-        called(place, b"GET /healthcheck HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ") and place.turns >= 3
+        admin_call(listener, b"GET /healthcheck HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
+        and listener.attempts >= 3
     )
-    door.kill()
-    place.close()
+    acceptor.kill()
+    listener.close()
 
 
-def test_no_descriptor_for_a_caller_is_waited_out_and_one_that_rests_makes_room() -> None:
-    stand = Stand()
-    hall, place = hall_for(stand), Short()
-    resting, _ = screen_for(hall, b"GET /ready HTTP/1.1\r\n\r\n")
+def test_the_server_waits_while_no_descriptor_is_free_and_closes_an_idle_connection() -> None:
+    rig = DispatcherRig()
+    http_server, listener = make_server(rig), ExhaustedListener()
+    resting, _ = connect_caller(http_server, b"GET /ready HTTP/1.1\r\n\r\n")
     assert resting.recv(1000).startswith(b"HTTP/1.1 ")
 
-    hall.start(place)
-    with socket.create_connection(place.getsockname()) as conn:
+    http_server.start(listener)
+    with socket.create_connection(listener.getsockname()) as conn:
         conn.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert conn.recv(1000).startswith(b"HTTP/1.1 200 ") and place.turns >= 3
+        assert conn.recv(1000).startswith(b"HTTP/1.1 200 ") and listener.attempts >= 3
     assert resting.recv(10) == b""
-    hall.acceptor.kill()
-    place.close()
+    http_server.acceptor.kill()
+    listener.close()
 
 
-def test_an_answer_of_the_other_process_that_does_not_come_is_none_and_a_fault_there_is_told() -> None:
+def test_a_missing_answer_of_the_other_process_is_none_and_a_fault_there_is_a_500() -> None:
     ours, theirs = socket.socketpair()
 
     def fails(tree: Any) -> Any:
@@ -246,7 +261,7 @@
         one.request({"call": "ok"}, 5) == {"status": 500, "re": 1}
         and other.request({"call": "ok"}, 5) is not None
     )
-    other.greenlet.kill()  # it hears no more
+    other.greenlet.kill()  # it does not read any more
     assert one.request({"call": "ok"}, 0.01) is None and not one.asked
     one.close()
     assert one.request({"call": "ok"}, 5) is None
@@ -255,74 +270,74 @@
 # ---------------------------------------------------------------- discovery, nodes, recorder
 
 
-def test_a_watch_is_given_up_and_taken_up_again_and_a_connection_that_ends_is_made_anew() -> None:
-    stand = Stand()
-    with listen() as peer:
-        plant_: Any = SimpleNamespace(
-            kinds={}, zones={}, known={}, discovery=peer.getsockname(), conn_idle_us=9_000_000
+def test_a_watch_can_be_stopped_and_started_and_a_closed_connection_is_replaced() -> None:
+    rig = DispatcherRig()
+    with open_listener() as listener:
+        config: Any = SimpleNamespace(
+            kinds={}, zones={}, known={}, discovery=listener.getsockname(), conn_idle_us=9_000_000
         )
-        listing = NodeList(plant_, stand.desk, room_for(stand, peer))
+        nodes = NodeList(config, rig.driver, make_pool(rig, listener))
         body = b'{"revision":%d,"complete":true,"members":[]}'
-        for turn, last in ((1, b"Connection: close\r\n"), (2, b""), (3, b"")):
-            listing.watch(True)
-            conn, _ = peer.accept()
+        for revision, header in ((1, b"Connection: close\r\n"), (2, b""), (3, b"")):
+            nodes.watch(True)
+            conn, _ = listener.accept()
             assert conn.recv(1000).startswith(b"GET /v1/endpoints")
-            text = body % turn
-            conn.sendall(b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (last, len(text), text))
-            while listing.revision != turn:
+            text = body % revision
+            conn.sendall(b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (header, len(text), text))
+            while nodes.revision != revision:
                 gevent.sleep(0.001)
-            if turn == 2:
-                conn.close()  # while it rests: the next call finds it ended
-                conn, _ = peer.accept()
+            if revision == 2:
+                conn.close()  # while it is idle: the next call finds it closed
+                conn, _ = listener.accept()
                 assert b"since=2&" in conn.recv(1000)
-            listing.watch(False)
-            rest()
-            assert listing.watcher is None and listing.connection is None
-        assert not stand.core.nodes
-        listing.watch(True)
-        conn, _ = peer.accept()
+            nodes.watch(False)
+            run_event_loop()
+            assert nodes.watcher is None and nodes.connection is None
+        assert not rig.dispatcher.nodes
+        nodes.watch(True)
+        conn, _ = listener.accept()
         conn.recv(1000)
         conn.sendall(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-        while listing.watcher:
+        while nodes.watcher:
             gevent.sleep(0.001)
-        assert listing.revision == 3  # a failure changes nothing of what is known
+        assert nodes.revision == 3  # a failed call does not change the known list
 
 
 def test_a_send_to_a_node_that_was_never_listed_is_moot() -> None:
-    module = Script(Send(1, 77))
-    stand = Stand(module)
-    with listen() as peer:
-        room = room_for(stand, peer)
-        stand.job("a")
-        rest()
-        room.send(stand.attempts[0])
-        rest()
-        assert stand.attempts[0].finished and room.open_connections == 0
-
-
-def test_a_recorder_that_fails_is_off_and_nobody_notices(
+    balancer = ScriptedBalancer(Send(1, 77))
+    rig = DispatcherRig(balancer)
+    with open_listener() as listener:
+        pool = make_pool(rig, listener)
+        rig.submit_job("a")
+        run_event_loop()
+        pool.send(rig.attempts[0])
+        run_event_loop()
+        assert rig.attempts[0].finished and pool.open_connections == 0
+
+
+def test_a_recorder_that_fails_is_switched_off_without_further_effect(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    stand = Stand()
-    flights = FlightRecorder(lambda: stand.core.balancer, lambda: {}, 10)
-    flights.configure(("n0", 0, "", ""), 10, str(tmp_path), 2)
-    stand.core.recorder = flights
+    rig = DispatcherRig()
+    flight_recorder = FlightRecorder(lambda: rig.dispatcher.balancer, lambda: {}, 10)
+    flight_recorder.configure(("n0", 0, "", ""), 10, str(tmp_path), 2)
+    rig.dispatcher.recorder = flight_recorder
 
     def fails(*_: Any) -> Any:
         raise OverflowError("planted")
 
-    monkeypatch.setattr(flights.encoder, "batch", fails)
-    stand.desk.update_nodes(ListKind.FULL, 1, (Entry(1),))
-    stand.job("a")
-    rest()
-    assert flights.ring is None and stand.attempts and not flights.write("asked")
-    flights.record_fault(ValueError("planted"))
-    stand.desk.attempt_ended(stand.attempts[0], Status.OK, (), "print")
-    assert stand.answers == [("a", Answer(AnswerStatus.SERVED, "print"))] and not list(tmp_path.iterdir())
-    again = FlightRecorder(lambda: stand.core.balancer, lambda: {}, 10)
+    monkeypatch.setattr(flight_recorder.encoder, "batch", fails)
+    rig.driver.update_nodes(ListKind.FULL, 1, (Entry(1),))
+    rig.submit_job("a")
+    run_event_loop()
+    assert flight_recorder.ring is None and rig.attempts and not flight_recorder.write("asked")
+    flight_recorder.record_fault(ValueError("planted"))
+    rig.driver.attempt_ended(rig.attempts[0], Status.OK, (), "print")
+    assert rig.answers == [("a", Answer(AnswerStatus.SERVED, "print"))] and not list(tmp_path.iterdir())
+    again = FlightRecorder(lambda: rig.dispatcher.balancer, lambda: {}, 10)
     again.configure(
         ("n0", 0, "", ""), 10, str(tmp_path), 2
-    )  # else what it writes lies in the folder of the tests' start
+    )  # otherwise it would write to the tests' working directory
     monkeypatch.setattr(recorder.flight, "freeze", fails)
     again.record_fault(ValueError("planted"))
     assert again.ring is None
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -24,13 +24,13 @@
     running_proxy,
     wait_until,
 )
-from test_told import Moody
+from test_told import FaultyDiscovery
 
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 FEW = {"cores": 1.0, "memory_mb": 192, "sockets": 96}
 
 
-class Away(Moody):
+class Away(FaultyDiscovery):
     """A discovery that is down until `back`; its address is known."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
@@ -94,7 +94,7 @@
         wait_until(lambda: len([x for x in list(program.log) if "call failed" in x]) > 1)
         discovery.back()
         idle += crowd(program, used)
-        wait_until(lambda: discovery.told)
+        wait_until(lambda: discovery.list_was_received)
         before = len(nodes[0].requests)
         assert {program.request(build_request("ok"))[0] for _ in range(3)} == {200}
         assert len(nodes[0].requests) == before and nodes[1].requests
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,8 +28,8 @@
     settings,
     wait_until,
 )
-from test_error_paths import hall_for, screen_for
-from test_line import Stand, listen, rest
+from test_error_paths import connect_caller, make_server
+from test_line import DispatcherRig, open_listener, run_event_loop
 
 from slatehub.cli.main import SettingsReloader
 from slatehub.drivers.clock import clock
@@ -42,25 +42,25 @@
 
 
 def test_a_request_that_has_come_unread_when_the_resting_are_closed_is_answered() -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, READY)
+    hall = make_server(DispatcherRig())
+    caller, screen = connect_caller(hall, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     hall.connections[screen] = None
     caller.sendall(READY)  # and the screen has not run since
     hall._close_idle(clock(), over=False)
     assert not screen.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     hall._close_idle(clock(), over=False)
     assert screen.closed and caller.recv(10) == b""  # a clean end, no reset
     caller.close()
 
 
 def test_who_goes_on_sending_is_closed_once_nothing_more_is_answered() -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, READY)
+    hall = make_server(DispatcherRig())
+    caller, screen = connect_caller(hall, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     hall.connections[screen] = None
     caller.sendall(READY)
     hall._close_idle(clock(), over=True)
@@ -70,7 +70,7 @@
 
 def test_who_is_let_in_at_the_last_call_is_written_to_without_delay() -> None:
     """Small writes that the system holds back go with a reset."""
-    hall, place = hall_for(Stand()), listen()
+    hall, place = make_server(DispatcherRig()), open_listener()
     hall.start(place)
     hall.acceptor.kill()
     callers = [gsocket.create_connection(place.getsockname()) for _ in range(3)]
@@ -87,9 +87,9 @@
 def test_what_is_taken_ahead_has_a_bound_and_is_given_back(
     bound: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hall = hall_for(Stand())
-    caller, screen = screen_for(hall, b"")
-    rest()
+    hall = make_server(DispatcherRig())
+    caller, screen = connect_caller(hall, b"")
+    run_event_loop()
     hall.memory_limit = 160_000 if bound == "of all" else 10_000_000
     if bound == "of one":
         monkeypatch.setattr(server, "MAX_READ_AHEAD_BYTES", 40_000)
@@ -191,7 +191,7 @@
     stop.join(5)
     assert began == ["begun", "through"]
     late = gevent.spawn(renewal)
-    rest()
+    run_event_loop()
     assert began == ["begun", "through"] and not late.ready()
     late.kill()
 
