--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -26,7 +26,15 @@
     read_response,
     running_proxy,
 )
-from test_line import LAST, WHOLE, Script, Stand, listen, rest, room_for
+from test_line import (
+    CLOSING_RESPONSE,
+    RESPONSE,
+    DispatcherRig,
+    ScriptedBalancer,
+    make_pool,
+    open_listener,
+    run_event_loop,
+)
 
 from paddlestep.interface import Outcome, Send, Status
 
@@ -132,41 +140,41 @@
 ) -> None:
     """On a new connection, and on a reused one. On a reused one the last byte is held back until the node could have
     closed the connection. If it has, the request never ran and is sent on another connection."""
-    with listen() as listener:
+    with open_listener() as listener:
         sends = [Send(n, 1) for n in range(1, 200)]
-        module = Script(*sum(([send, []] for send in sends), []))
-        stand = Stand(module)
-        node_pool = room_for(stand, listener)
+        module = ScriptedBalancer(*sum(([send, []] for send in sends), []))
+        stand = DispatcherRig(module)
+        node_pool = make_pool(stand, listener)
         size, length = 0, 1
         while size < length:
             conn = None
             if reused:
-                stand.job(f"before-{size}")
-                rest()
+                stand.submit_job(f"before-{size}")
+                run_event_loop()
                 node_pool.send(stand.attempts[-1])
                 conn, _ = listener.accept()
                 length = len(conn.recv(1000))
-                conn.sendall(WHOLE)
+                conn.sendall(RESPONSE)
                 while not stand.attempts[-1].finished:
                     gevent.sleep(0)
-                rest()
-            stand.job(f"cut-{size}")
-            rest()
+                run_event_loop()
+            stand.submit_job(f"cut-{size}")
+            run_event_loop()
             attempt = stand.attempts[-1]
             node_pool.send(attempt)
             if conn is None:
                 conn, _ = listener.accept()
                 length = max(length, 60)
             received = receive_and_close(conn, size, how)
-            rest()
+            run_event_loop()
             complete_requests = 0
             while not attempt.finished:
                 if gevent.select.select([listener], [], [], 0.005)[0]:
                     other_conn, _ = listener.accept()  # the request is sent on a new connection
                     complete_requests += other_conn.recv(1000).endswith(b"\r\n\r\n")
-                    other_conn.sendall(LAST)
+                    other_conn.sendall(CLOSING_RESPONSE)
                     other_conn.close()
-            rest()
+            run_event_loop()
             last_status = [e.status for e in module.events if isinstance(e, Outcome)][-1]
             assert len(received) == size and not received.endswith(b"\r\n\r\n")
             assert (last_status is Status.OK) == (complete_requests == 1) and last_status in (
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -230,7 +230,7 @@
         self.apply({"revision": 5, "complete": True, "members": [MEMBER, MEMBER | {"id": "s-2"}]})
 
     def apply(self, tree: Any) -> None:
-        self.node_list._apply(tree, self.node_list._kind(tree))
+        self.node_list._apply(tree, self.node_list._list_kind(tree))
 
     def snapshot(self) -> Any:
         return (
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,8 +28,8 @@
     settings,
     wait_until,
 )
-from test_error_paths import hall_for, screen_for
-from test_line import Stand, listen, rest
+from test_error_paths import connect_caller, make_server
+from test_line import DispatcherRig, open_listener, run_event_loop
 
 from slatehub.cli.main import SettingsReloader
 from slatehub.drivers.clock import clock
@@ -42,25 +42,25 @@
 
 
 def test_an_unread_request_is_answered_when_idle_connections_are_closed() -> None:
-    http_server = hall_for(Stand())
-    caller, connection = screen_for(http_server, READY)
+    http_server = make_server(DispatcherRig())
+    caller, connection = connect_caller(http_server, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     http_server.connections[connection] = None
     caller.sendall(READY)  # the reader has not run since
     http_server._close_idle(clock(), finished=False)
     assert not connection.closed and caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     http_server._close_idle(clock(), finished=False)
     assert connection.closed and caller.recv(10) == b""  # closed by FIN, no reset
     caller.close()
 
 
 def test_a_caller_that_keeps_sending_is_closed_once_no_more_answers_are_given() -> None:
-    http_server = hall_for(Stand())
-    caller, connection = screen_for(http_server, READY)
+    http_server = make_server(DispatcherRig())
+    caller, connection = connect_caller(http_server, READY)
     assert caller.recv(1000).startswith(b"HTTP/1.1 ")
-    rest()
+    run_event_loop()
     http_server.connections[connection] = None
     caller.sendall(READY)
     http_server._close_idle(clock(), finished=True)
@@ -70,7 +70,7 @@
 
 def test_connections_accepted_from_the_backlog_at_shutdown_have_tcp_nodelay() -> None:
     """Small writes that the kernel delays are lost when the connection is reset."""
-    http_server, listener = hall_for(Stand()), listen()
+    http_server, listener = make_server(DispatcherRig()), open_listener()
     http_server.start(listener)
     http_server.acceptor.kill()
     callers = [gsocket.create_connection(listener.getsockname()) for _ in range(3)]
@@ -87,9 +87,9 @@
 def test_read_ahead_is_bounded_and_its_memory_is_released(
     bound: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    http_server = hall_for(Stand())
-    caller, connection = screen_for(http_server, b"")
-    rest()
+    http_server = make_server(DispatcherRig())
+    caller, connection = connect_caller(http_server, b"")
+    run_event_loop()
     http_server.memory_limit = 160_000 if bound == "all connections" else 10_000_000
     if bound == "one connection":
         monkeypatch.setattr(server, "MAX_READ_AHEAD_BYTES", 40_000)
@@ -195,7 +195,7 @@
     stop.join(5)
     assert steps == ["begun", "through"]
     late_reload = gevent.spawn(reloader)
-    rest()
+    run_event_loop()
     assert steps == ["begun", "through"] and not late_reload.ready()
     late_reload.kill()
 
