--- a/slatehub/__main__.py
+++ b/slatehub/__main__.py
@@ -1,11 +1,10 @@
-"""Starts the command line; it must hold nothing else."""
+"""Starts the command line. Contains nothing else."""
 
 import signal
 
 for number in (signal.SIGHUP, signal.SIGUSR2):
-    signal.signal(
-        number, signal.SIG_IGN
-    )  # until `serve` hears them: loading takes a while, and they would end it
+    # Ignored until `serve` installs its handlers: importing takes a while, and either signal would end the process.
+    signal.signal(number, signal.SIG_IGN)
 
 from .cli import main  # noqa: E402
 
--- a/slatehub/cli/__init__.py
+++ b/slatehub/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: wiring, signals and the order in which the parts start and stop."""
+"""The command line: wiring, signals, and the order in which the components start and stop."""
 
 from .main import main
 
--- a/slatehub/cli/main.py
+++ b/slatehub/cli/main.py
@@ -1,5 +1,5 @@
-"""The command line: wiring and signals. It owns the order in which the parts start and stop. It must never decide
-about a job, and never end with a job in hand."""
+"""The command line: builds the components, connects them and handles signals. It defines the order in which the
+components start and stop. It makes no decision about a job, and the process ends only when no job is open."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 import click
 import gevent
-from gevent.event import Event as Bell
+from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
 from .. import __version__
@@ -30,12 +30,12 @@
 from ..observe.log import configure, error_location, log_event
 from ..settings.reader import Address, ConfigError, ProxyConfig, load_config, merge_reloaded
 from .management import Management
-from .peers import Peers
-from .promises import Promises
-from .recorder_lifecycle import Flights
+from .peers import FleetLifecycle
+from .promises import CopiesLifecycle
+from .recorder_lifecycle import RecorderLifecycle
 
 
-def _plant(own: str | None) -> ProxyConfig:
+def _load_or_exit(own: str | None) -> ProxyConfig:
     try:
         return load_config(os.environ, own)
     except ConfigError as problem:
@@ -43,81 +43,88 @@
         sys.exit(2)
 
 
-def descriptors(plant: ProxyConfig) -> int:
-    """How many this process may hold; the soft limit is raised where it stands in the way."""
+def raise_descriptor_limit(config: ProxyConfig) -> int:
+    """The number of file descriptors that this process may hold. Raises the soft limit where it is lower than that."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    limit = plant.sockets if hard == resource.RLIM_INFINITY else min(plant.sockets, hard)
+    limit = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
     if limit > soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
     return limit
 
 
-def resource_shares(plant: ProxyConfig, linked: bool = False) -> tuple[int, int, int]:
-    """Descriptors of callers and of nodes, and bytes of requests in hand. What is recorded takes room from these.
-    `linked`: half of it, as another process of this proxy has the rest."""
-    own = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if plant.mgmt else 0)
-    own_mb = (
-        plant.operator.recorder.memory_mb + plant.operator.fleet.memory_mb + plant.operator.copies.memory_mb
+def resource_shares(config: ProxyConfig, shared_with_process: bool = False) -> tuple[int, int, int]:
+    """Descriptors for callers, descriptors for nodes, and bytes for requests in progress. The memory of the flight
+    recorder, the fleet and the copies is subtracted first. `shared_with_process`: half of each, as a second process of
+    this proxy uses the other half during a hot restart."""
+    own = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.mgmt else 0)
+    reserved_mb = (
+        config.operator.recorder.memory_mb
+        + config.operator.fleet.memory_mb
+        + config.operator.copies.memory_mb
+    )
+    callers, nodes, bytes_held = split_budget(
+        raise_descriptor_limit(config), config.memory_mb - reserved_mb, own
+    )
+    return (
+        (callers // 2, nodes // 2, bytes_held // 2) if shared_with_process else (callers, nodes, bytes_held)
     )
-    callers, nodes, held = split_budget(descriptors(plant), plant.memory_mb - own_mb, own)
-    return (callers // 2, nodes // 2, held // 2) if linked else (callers, nodes, held)
 
 
-def recovery(plant: ProxyConfig) -> RecoveryConfig:
-    storms = plant.operator.storms
+def recovery(config: ProxyConfig) -> RecoveryConfig:
+    storms = config.operator.storms
     return RecoveryConfig(storms.watch, storms.advice)  # type: ignore[arg-type]  # checked by the reader
 
 
-def settle_log(plant: ProxyConfig) -> None:
-    configure(**asdict(plant.operator.log), proxy=plant.name, tier=plant.settings.tier)
+def configure_log(config: ProxyConfig) -> None:
+    configure(**asdict(config.operator.log), proxy=config.name, tier=config.settings.tier)
 
 
-def unforeseen(context: Any, kind: type[BaseException], problem: BaseException | None, trace: Any) -> None:
-    """What nobody caught, as a line of the log. gevent would print it to standard error, and wait there if need be."""
+def log_uncaught(context: Any, kind: type[BaseException], problem: BaseException | None, trace: Any) -> None:
+    """Logs an uncaught exception. gevent's own handler would print it to standard error, which can block."""
     problem = (problem or kind()).with_traceback(trace)
     log_event(
         "fault",
-        f"nobody caught {kind.__name__}: {problem}",
+        f"uncaught {kind.__name__}: {problem}",
         "error",
         by=context,
         where=error_location(problem),
     )
 
 
-def each(bell: Bell, act: Callable[[], None]) -> None:
-    """Each time the bell rings. For a greenlet of its own."""
+def run_on_event(event: Event, act: Callable[[], None]) -> None:
+    """Calls `act` each time the event is set. Runs forever, in its own greenlet."""
     while True:
-        bell.wait()
-        bell.clear()
+        event.wait()
+        event.clear()
         act()
 
 
 class SettingsReloader:
-    """Reads the settings again, whole, and checks them, and only then swaps them, all at once. If anything is wrong,
-    the old ones stay in force and a line names the key."""
+    """Reads and checks all settings again, and only then replaces them, all at once. If any of them is wrong, the old
+    settings stay in force and a log line names the key."""
 
     def __init__(
-        self, own: str | None, flights: Flights, listing: NodeList, room: NodePool, hall: HttpServer,
-        management: Management, peers: Peers, promises: Promises,
+        self, own: str | None, recorder: RecorderLifecycle, node_list: NodeList, node_pool: NodePool,
+        http_server: HttpServer, management: Management, peers: FleetLifecycle, copies: CopiesLifecycle,
     ) -> None:  # fmt: skip
-        self.peers, self.promises = peers, promises
-        self.own, self.flights, self.node_list, self.node_pool, self.http_server = (
+        self.peers, self.copies = peers, copies
+        self.own, self.recorder, self.node_list, self.node_pool, self.http_server = (
             own,
-            flights,
-            listing,
-            room,
-            hall,
+            recorder,
+            node_list,
+            node_pool,
+            http_server,
         )
         self.management = management
-        self.at_work = BoundedSemaphore()
+        self.reload_lock = BoundedSemaphore()
 
     def close(self) -> None:
-        """None begins any more, and one that has begun is through: half a swap would leave a listener that nobody
-        looks after."""
-        self.at_work.acquire()
+        """Waits for a reload in progress and prevents further ones. Stopping halfway through a reload would leave a
+        listener that nothing closes."""
+        self.reload_lock.acquire()
 
     def __call__(self) -> None:
-        with self.at_work:
+        with self.reload_lock:
             self._try()
 
     def _try(self) -> None:
@@ -134,62 +141,69 @@
             )
 
     def _reload(self) -> None:
-        plant = load_config(os.environ, self.own)
-        self.node_list.validate_known(plant)
+        config = load_config(os.environ, self.own)
+        self.node_list.validate_known(config)
         old = self.http_server.config
-        # Port 0 asked for any port once; it does not ask for another one now.
+        # Port 0 was resolved to a free port at the start; an unchanged 0 does not request another port.
         listener = (
-            bound("listen", self.http_server.bind, plant.listen) if plant.listen != old.listen else None
+            bind_or_reject("listen", self.http_server.bind, config.listen)
+            if config.listen != old.listen
+            else None
         )
         mgmt = None
         try:
-            mgmt = bound("mgmt", listen, plant.mgmt) if plant.mgmt and plant.mgmt != old.mgmt else None
-            plant = merge_reloaded(old, plant)
-            callers, nodes, bytes_held = resource_shares(plant, self.management.linked)
-            self.promises.check(plant)
-            self.flights.settle(plant)
-            self.peers.settle(plant)  # the last that may still find something wrong
+            mgmt = (
+                bind_or_reject("mgmt", listen, config.mgmt)
+                if config.mgmt and config.mgmt != old.mgmt
+                else None
+            )
+            config = merge_reloaded(old, config)
+            callers, nodes, bytes_held = resource_shares(config, self.management.shared_with_process)
+            self.copies.check(config)
+            self.recorder.apply_settings(config)
+            self.peers.apply_settings(config)  # the last step that can still reject the settings
         except Exception:
             for sock in filter(None, (listener, mgmt)):
                 sock.close()
             raise
-        if plant.mgmt != old.mgmt:
+        if config.mgmt != old.mgmt:
             self.management.open(mgmt)
-        settle_log(plant)
-        self.http_server.dispatcher.apply_settings(plant.settings, plant.max_open, recovery(plant))
-        self.node_pool.apply_settings(plant, nodes)
-        self.promises.settle(plant)
-        self.node_list.apply_settings(plant)
-        self.http_server.apply_settings(plant, callers, bytes_held, listener)
+        configure_log(config)
+        self.http_server.dispatcher.apply_settings(config.settings, config.max_open, recovery(config))
+        self.node_pool.apply_settings(config, nodes)
+        self.copies.apply_settings(config)
+        self.node_list.apply_settings(config)
+        self.http_server.apply_settings(config, callers, bytes_held, listener)
         log_event("settings", "read again and in force")
 
 
-def bound(key: str, bind: Callable[[Address], Any], place: Address) -> Any:
-    """A listener at the address that this key names. ConfigError where it cannot be had."""
+def bind_or_reject(key: str, bind: Callable[[Address], Any], place: Address) -> Any:
+    """A listener at the address of this settings key. Raises ConfigError where the address cannot be bound."""
     try:
         return bind(place)
     except OSError as problem:
         raise ConfigError(f"{key}: {problem}") from None
 
 
-LIST_S = 1.5  # for discovery to answer a process that takes over, or whose lists are pushed: what discovery has then
-# counts as told from the first moment, and an old list may name nodes that drain
-own_file = click.option(
+# How long a process that takes over, or whose lists are pushed, waits for discovery before it serves: the stored list
+# may be old and name nodes that are draining.
+DISCOVERY_WAIT_S = 1.5
+operator_file_option = click.option(
     "--operator", "own", metavar="FILE", help="The operator's own file [SLATEHUB_OPERATOR]."
 )
 
 
-LATE = ("copies", "fleet", "store")
+LAZY_COMMANDS = ("copies", "fleet", "store")
 
 
 class Commands(click.Group):
-    """Loads what operators ask with only where it is asked for: serving needs none of it."""
+    """Imports the modules of the operators' commands only when they are called: `serve` needs none of them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *LATE])
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in LATE:
+        if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
         from importlib import import_module
 
@@ -209,70 +223,76 @@
 
 
 @main.command("check-config")
-@own_file
+@operator_file_option
 def check_config(own: str | None) -> None:
     """Reads the settings as serve would, and says what is wrong; exit 2 if anything is."""
-    plant = _plant(own)
-    s = plant.settings
+    config = _load_or_exit(own)
+    s = config.settings
     try:
-        Promises.check(plant)
+        CopiesLifecycle.check(config)
     except ConfigError as problem:
         click.echo(f"slatehub: {problem}", err=True)
         sys.exit(2)
     click.echo(
-        f"{plant.name}: tier {s.tier} of {s.tiers}, {len(s.classes)} classes, {len(s.tenants)} accounts"
+        f"{config.name}: tier {s.tier} of {s.tiers}, {len(s.classes)} classes, {len(s.tenants)} accounts"
     )
-    click.echo(f"at most {plant.sockets} descriptors, {plant.memory_mb} MB: good")
+    click.echo(f"at most {config.sockets} descriptors, {config.memory_mb} MB: good")
 
 
 @main.command()
-@own_file
+@operator_file_option
 def serve(own: str | None) -> None:
-    """Serves until SIGTERM or SIGINT, then finishes what is in hand. SIGHUP has the settings read again, SIGUSR2 the
-    flight recording written."""
-    renewal, asked = Bell(), Bell()
-    gevent.signal_handler(
-        signal.SIGHUP, renewal.set
-    )  # first of all: unhandled, these two would end the program
-    gevent.signal_handler(signal.SIGUSR2, asked.set)
-    plant = _plant(own)
-    settle_log(plant)
-    setattr(gevent.get_hub(), "print_exception", unforeseen)  # noqa: B010  # it is meant to be replaced
-    sys.unraisablehook = lambda args: unforeseen(
+    """Serves until SIGTERM or SIGINT, then finishes the open jobs. SIGHUP reloads the settings, SIGUSR2 writes the
+    flight recording."""
+    reload_requested, recording_requested = Event(), Event()
+    # Installed before anything else: unhandled, these two signals would end the program.
+    gevent.signal_handler(signal.SIGHUP, reload_requested.set)
+    gevent.signal_handler(signal.SIGUSR2, recording_requested.set)
+    config = _load_or_exit(own)
+    configure_log(config)
+    # gevent documents this method as replaceable.
+    setattr(gevent.get_hub(), "print_exception", log_uncaught)  # noqa: B010
+    sys.unraisablehook = lambda args: log_uncaught(
         args.object, args.exc_type, args.exc_value, args.exc_traceback
     )
-    callers, nodes, bytes_held = resource_shares(plant)
-    core = Dispatcher(plant.settings, plant.seed, plant.max_open, recovery(plant))
-    desk = DispatcherDriver(core)
-    room = NodePool(plant, desk, nodes)
-    by_hand = Maintenance()
-    listing = NodeList(plant, desk, room, by_hand)
-    hall = HttpServer(plant, desk, callers, bytes_held)
-    flights = Flights(core, desk.node_ids)
-    peers = Peers(plant, desk)
-    promises = Promises(plant, desk, peers)
-    stop = Bell()
+    callers, nodes, bytes_held = resource_shares(config)
+    dispatcher = Dispatcher(config.settings, config.seed, config.max_open, recovery(config))
+    driver = DispatcherDriver(dispatcher)
+    node_pool = NodePool(config, driver, nodes)
+    maintenance = Maintenance()
+    node_list = NodeList(config, driver, node_pool, maintenance)
+    http_server = HttpServer(config, driver, callers, bytes_held)
+    recorder = RecorderLifecycle(dispatcher, driver.node_ids)
+    peers = FleetLifecycle(config, driver)
+    copies = CopiesLifecycle(config, driver, peers)
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, stop.set)
-    desk.start(room, listing)
+        gevent.signal_handler(number, stop_requested.set)
+    driver.start(node_pool, node_list)
     management = Management(
-        lambda linked: resource_shares(hall.config, linked), by_hand, listing, hall, room, peers, promises
+        lambda shared_with_process: resource_shares(http_server.config, shared_with_process),
+        maintenance,
+        node_list,
+        http_server,
+        node_pool,
+        peers,
+        copies,
     )
     try:
-        promises.check(plant)
-        flights.settle(plant)
-        peers.settle(plant)
-        promises.settle(plant)
-        estate = management.inherit() if plant.mgmt else None
-        listing.load_known()
-        if estate or plant.settings.pushed_discovery:
-            listing.updated.wait(LIST_S)
-        hall.start(estate and estate.listener)
-        if plant.mgmt:
-            management.take_over(estate)
-            management.open(bound("mgmt", listen, plant.mgmt))
+        copies.check(config)
+        recorder.apply_settings(config)
+        peers.apply_settings(config)
+        copies.apply_settings(config)
+        inherited = management.inherit() if config.mgmt else None
+        node_list.load_known()
+        if inherited or config.settings.pushed_discovery:
+            node_list.updated.wait(DISCOVERY_WAIT_S)
+        http_server.start(inherited and inherited.listener)
+        if config.mgmt:
+            management.take_over(inherited)
+            management.open(bind_or_reject("mgmt", listen, config.mgmt))
         peers.serve()
-        promises.serve()
+        copies.serve()
     except ConfigError as problem:
         click.echo(f"slatehub: {problem}", err=True)
         sys.exit(2)
@@ -280,21 +300,23 @@
         click.echo(f"slatehub: listen: {problem}", err=True)
         sys.exit(1)
     gc.collect()
-    gc.freeze()  # what is loaded now stays; collecting it again and again would only cost pauses
-    host, port = hall.listener.getsockname()[:2]
-    log_event("start", f"{plant.name} listens on {host}:{port}, tier {plant.settings.tier}")
-    renew_all = SettingsReloader(own, flights, listing, room, hall, management, peers, promises)
-    gevent.spawn(each, renewal, renew_all)
-    gevent.spawn(each, asked, flights.asked)
-    stop.wait()
-    renew_all.close()
-    log_event("stop", f"finishing {len(desk.job_table.by_request_id)} jobs in hand")
-    hall.stop()
-    promises.leave()
-    peers.leave()
-    flights.finish()
+    gc.freeze()  # the objects loaded so far live to the end; scanning them at each collection would only add pauses
+    host, port = http_server.listener.getsockname()[:2]
+    log_event("start", f"{config.name} listens on {host}:{port}, tier {config.settings.tier}")
+    reload_settings = SettingsReloader(
+        own, recorder, node_list, node_pool, http_server, management, peers, copies
+    )
+    gevent.spawn(run_on_event, reload_requested, reload_settings)
+    gevent.spawn(run_on_event, recording_requested, recorder.write_requested)
+    stop_requested.wait()
+    reload_settings.close()
+    log_event("stop", f"finishing {len(driver.job_table.by_request_id)} jobs in hand")
+    http_server.stop()
+    copies.stop()
+    peers.stop()
+    recorder.finish()
     log_event(
         "stop",
-        f"done after {desk.job_table.last_number} jobs, {room.attempts_sent} attempts, "
-        f"{room.connections_opened} connections to nodes",
+        f"done after {driver.job_table.last_number} jobs, {node_pool.attempts_sent} attempts, "
+        f"{node_pool.connections_opened} connections to nodes",
     )
--- a/slatehub/cli/management.py
+++ b/slatehub/cli/management.py
@@ -1,5 +1,5 @@
-"""The operators' address and the process beside this one: their place in the program. It owns whether there is a
-`Process`. It must never load one that is not wanted: most of a fleet's processes start without."""
+"""The operators' address and the hot restart. Creates the `Process` only when it is needed, as most of a fleet's
+processes run without a management address."""
 
 from __future__ import annotations
 
@@ -9,25 +9,27 @@
 from ..discovery.node_list import NodeList
 from ..fronts.http1.server import HttpServer
 from ..nodes.http1 import NodePool
-from .peers import Peers
-from .promises import Promises
+from .peers import FleetLifecycle
+from .promises import CopiesLifecycle
 
 if TYPE_CHECKING:
     from ..handover.hot_restart import InheritedState
-    from .process import Process, Shares
+    from .process import Process, ResourceShares
 
 
 class Management:
+    """Loads `Process` on first use and forwards to it."""
+
     def __init__(
-        self, shares: Shares, by_hand: Maintenance, listing: NodeList, hall: HttpServer, room: NodePool, peers: Peers,
-        promises: Promises,
+        self, resource_shares: ResourceShares, maintenance: Maintenance, node_list: NodeList, http_server: HttpServer,
+        node_pool: NodePool, peers: FleetLifecycle, copies: CopiesLifecycle,
     ) -> None:  # fmt: skip
-        self.parts = (shares, by_hand, listing, hall, room, peers, promises)
+        self.parts = (resource_shares, maintenance, node_list, http_server, node_pool, peers, copies)
         self.process: Process | None = None
-        promises.do = lambda tree: self._wanted().apply_operation(tree)
-        promises.out_here = by_hand.started_at
+        copies.apply_locally = lambda tree: self._load_process().apply_operation(tree)
+        copies.nodes_out_locally = maintenance.started_at
 
-    def _wanted(self) -> Process:
+    def _load_process(self) -> Process:
         if not self.process:
             from .process import Process
 
@@ -35,17 +37,17 @@
         return self.process
 
     @property
-    def linked(self) -> bool:
-        """Whether another process of this proxy lives."""
+    def shared_with_process(self) -> bool:
+        """Whether another process of this proxy is running and connected."""
         return self.process is not None and self.process.hot_restart.is_connected
 
     def inherit(self) -> InheritedState | None:
-        return self._wanted().inherit()
+        return self._load_process().inherit()
 
-    def take_over(self, estate: InheritedState | None) -> None:
-        self._wanted().take_over(estate)
+    def take_over(self, inherited: InheritedState | None) -> None:
+        self._load_process().take_over(inherited)
 
     def open(self, listener: Any) -> None:
-        """Operators call here from now on; None: nowhere."""
+        """Accepts operators' calls at `listener` from now on; None: at no address."""
         if listener or self.process:
-            self._wanted().operators.open(listener)
+            self._load_process().operators.open(listener)
--- a/slatehub/cli/peers.py
+++ b/slatehub/cli/peers.py
@@ -1,5 +1,5 @@
-"""The fleet's place in the program: switched on and off, swapped with the settings, ended. It owns whether there is a
-driver. It must never load one that is not wanted."""
+"""Starts, reconfigures and stops the fleet driver as the settings require. The driver's module is imported only where
+the settings switch the fleet on."""
 
 from __future__ import annotations
 
@@ -12,79 +12,81 @@
 if TYPE_CHECKING:
     from ..fleet.driver import FleetDriver
 
-KEEPS = ("listen", "advertise", "name")  # what a driver cannot change while it lives
+FIXED_KEYS = ("listen", "advertise", "name")  # a driver is replaced when one of these keys changes
 
 
-class Peers:
-    """`serving`: this process has the door, and so speaks for the proxy."""
+class FleetLifecycle:
+    """`serving`: this process accepts the proxy's connections, and so represents it in the fleet."""
 
-    def __init__(self, plant: ProxyConfig, desk: DispatcherDriver) -> None:
-        self.config, self.dispatcher = plant, desk
+    def __init__(self, config: ProxyConfig, dispatcher: DispatcherDriver) -> None:
+        self.config, self.dispatcher = config, dispatcher
         self.driver: FleetDriver | None = None
         self.serving = False
 
-    def settle(self, plant: ProxyConfig) -> None:
-        """As the settings now want it. ConfigError, and nothing changed, where that cannot be."""
-        old, new = self.config.operator.fleet, plant.operator.fleet
-        same = self.driver is not None and all(getattr(old, key) == getattr(new, key) for key in KEEPS)
+    def apply_settings(self, config: ProxyConfig) -> None:
+        """Applies the settings. Raises ConfigError, with nothing changed, where they cannot be applied."""
+        old, new = self.config.operator.fleet, config.operator.fleet
+        unchanged = self.driver is not None and all(
+            getattr(old, key) == getattr(new, key) for key in FIXED_KEYS
+        )
         try:
-            if same and self.driver:
+            if unchanged and self.driver:
                 self.driver.rekey(new)
-                self._share(new.share)
+                self._configure_load_sharing(new.share)
             else:
-                made = self._made(plant, new)
-                self._replace(made)
+                driver = self._create_driver(config, new)
+                self._replace(driver)
         except InvalidSettingError as problem:
             raise ConfigError(f"fleet.{problem.key}: {problem}") from None
-        self.config = plant
+        self.config = config
 
-    def _made(self, plant: ProxyConfig, terms: FleetConfig) -> FleetDriver | None:
-        if not terms.listen:
+    def _create_driver(self, config: ProxyConfig, settings: FleetConfig) -> FleetDriver | None:
+        if not settings.listen:
             return None
-        if len(plant.name) > 64:
+        if len(config.name) > 64:
             raise ConfigError("name: at most 64 characters in a fleet")
         from ..fleet.driver import FleetDriver
 
-        return FleetDriver(plant.name, plant.settings.tier, terms, plant.seed)
+        return FleetDriver(config.name, config.settings.tier, settings, config.seed)
 
-    def _replace(self, made: FleetDriver | None) -> None:
+    def _replace(self, driver: FleetDriver | None) -> None:
         if self.driver:
-            self.driver.close(leave=made is None)
-        self.driver = made
-        self._share(made is not None and made.settings.share)
-        if self.serving and made:
-            made.open()
-
-    def _share(self, wanted: bool) -> None:
-        """Whether our load is told, and that of all heard."""
-        desk = self.dispatcher.dispatcher
-        if not (wanted and self.driver):
+            self.driver.close(leave=driver is None)
+        self.driver = driver
+        self._configure_load_sharing(driver is not None and driver.settings.share)
+        if self.serving and driver:
+            driver.open()
+
+    def _configure_load_sharing(self, enabled: bool) -> None:
+        """Starts or stops sending this proxy's load and receiving that of the other proxies."""
+        dispatcher = self.dispatcher.dispatcher
+        if not (enabled and self.driver):
             if self.driver:
                 self.driver.peer.load_sharing = None
-            desk.batch_observer = None
+            dispatcher.batch_observer = None
         elif self.driver.peer.load_sharing is None:
-            desk.batch_observer = self.driver.start_load_sharing(
-                lambda: desk.balancer, self.dispatcher.update_peers
+            dispatcher.batch_observer = self.driver.start_load_sharing(
+                lambda: dispatcher.balancer, self.dispatcher.update_peers
             )
 
     def serve(self) -> None:
-        """This process speaks for the proxy from now on."""
+        """This process represents the proxy in the fleet from now on."""
         self.serving = True
         if self.driver:
             self.driver.open()
 
-    def rest(self) -> None:
-        """Another process of this proxy takes the name up: no good-bye."""
+    def suspend(self) -> None:
+        """Closes the socket without announcing a departure: another process of this proxy takes over its name."""
         self.serving = False
         if self.driver:
             self.driver.close(leave=False)
 
-    def leave(self) -> None:
-        """The process ends."""
+    def stop(self) -> None:
+        """Leaves the fleet as the process ends."""
         if self.serving and self.driver:
             self.driver.close(leave=True)
         self.serving = False
 
     def status(self) -> dict[str, Any] | None:
-        """None: not in a fleet."""
+        """The state for operators; None: not in a fleet."""
         return self.driver.status() if self.driver else None
--- a/slatehub/cli/process.py
+++ b/slatehub/cli/process.py
@@ -1,5 +1,5 @@
-"""This process as one of two that are one proxy, and what operators call it for: what the handover and the calls mean
-to the parts of the program. It must never be loaded where no operators' address is named (`management.py`)."""
+"""Connects the hot restart and the operators' calls with the components of this process. During a hot restart two
+processes serve as one proxy. This module is loaded only where a management address is set (`management.py`)."""
 
 from __future__ import annotations
 
@@ -14,51 +14,58 @@
 from ..mgmt.server import AdminServer
 from ..mgmt.state import StateFile
 from ..nodes.http1 import NodePool
-from .peers import Peers
-from .promises import Promises
+from .peers import FleetLifecycle
+from .promises import CopiesLifecycle
 
-Shares = Callable[[bool], tuple[int, int, int]]
+ResourceShares = Callable[[bool], tuple[int, int, int]]
 
 
 class Process:
-    """This process as one of two that are one proxy; what the handover and the operators' calls mean to its parts."""
+    """Carries out the steps of a hot restart and the operators' calls on the components of this process."""
 
     def __init__(
-        self, shares: Shares, by_hand: Maintenance, listing: NodeList, hall: HttpServer, room: NodePool, peers: Peers,
-        promises: Promises,
+        self, resource_shares: ResourceShares, maintenance: Maintenance, node_list: NodeList, http_server: HttpServer,
+        node_pool: NodePool, peers: FleetLifecycle, copies: CopiesLifecycle,
     ) -> None:  # fmt: skip
-        self.shares, self.peers, self.promises = shares, peers, promises
-        self.maintenance, self.node_list, self.http_server, self.node_pool = by_hand, listing, hall, room
-        self.state = StateFile(hall.config.name)
-        self.hot_restart = HotRestart(hall.config.name, hall.config.listen, self)
-        self.operations = Operations(by_hand, self.state, listing, hall, self.hot_restart.forward_operation,
-                                     peers.status, promises.status, promises.change, promises.node)  # fmt: skip
+        self.resource_shares, self.peers, self.copies = resource_shares, peers, copies
+        self.maintenance, self.node_list, self.http_server, self.node_pool = (
+            maintenance,
+            node_list,
+            http_server,
+            node_pool,
+        )
+        self.state = StateFile(http_server.config.name)
+        self.hot_restart = HotRestart(http_server.config.name, http_server.config.listen, self)
+        self.operations = Operations(
+            maintenance, self.state, node_list, http_server, self.hot_restart.forward_operation,
+            peers.status, copies.status, copies.change_voters, copies.set_node_out,
+        )  # fmt: skip
         self.operators = AdminServer(self.operations)
         self.apply_operation = self.operations.apply_operation
 
     def suspend(self) -> None:
         self.http_server.suspend()
-        self.promises.rest()
-        self.peers.rest()
+        self.copies.suspend()
+        self.peers.suspend()
 
     def resume(self) -> None:
         self.http_server.resume()
         self.peers.serve()
-        self.promises.serve()
+        self.copies.serve()
 
     def inherit(self) -> InheritedState | None:
-        """What the process that is there holds, else what an earlier one left."""
-        estate = self.hot_restart.connect_to_predecessor()
-        held = [estate.state.get(key) for key in ("out", "back")] if estate else []
-        if estate and all(isinstance(x, dict) for x in held):
-            self.maintenance.restore(*held)  # type: ignore[arg-type]  # looked at in the line before
+        """The state of the running predecessor process, else the state file of an earlier one."""
+        inherited = self.hot_restart.connect_to_predecessor()
+        saved = [inherited.state.get(key) for key in ("out", "back")] if inherited else []
+        if inherited and all(isinstance(x, dict) for x in saved):
+            self.maintenance.restore(*saved)  # type: ignore[arg-type]  # checked in the line before
         else:
             self.state.load(self.maintenance)
-        return estate
+        return inherited
 
-    def take_over(self, estate: InheritedState | None) -> None:
-        """The door is open here."""
-        if estate and estate.state.get("drained") is True:
+    def take_over(self, inherited: InheritedState | None) -> None:
+        """Finishes the takeover. Called when this process accepts connections."""
+        if inherited and inherited.state.get("drained") is True:
             self.http_server.start_drain()
         self.hot_restart.announce_serving()
 
@@ -70,14 +77,14 @@
         }
 
     def get_listener(self, listen: Any) -> Any:
-        same = (
+        is_current = (
             listen == list(self.http_server.config.listen)
             and self.http_server.started
             and self.http_server.listener.fileno() >= 0
         )
-        return self.http_server.listener if same else None
+        return self.http_server.listener if is_current else None
 
     def set_shared(self, linked: bool) -> None:
-        callers, nodes, bytes_held = self.shares(linked)
+        callers, nodes, bytes_held = self.resource_shares(linked)
         self.http_server.apply_settings(self.http_server.config, callers, bytes_held, None)
         self.node_pool.apply_settings(self.http_server.config, nodes)
--- a/slatehub/cli/promises.py
+++ b/slatehub/cli/promises.py
@@ -1,5 +1,5 @@
-"""The copies' and the ledger's place in the program: switched on and off, swapped with the settings, ended. It owns
-whether there is a driver. It must never load one that is not wanted."""
+"""Starts, reconfigures and stops the replicated copies and the ledger as the settings require. Their modules are
+imported only where the settings switch them on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ..drivers.dispatcher import DispatcherDriver
 from ..nodes.outcomes import execution_evidence
 from ..settings.reader import ConfigError, ProxyConfig
-from .peers import Peers
+from .peers import FleetLifecycle
 
 if TYPE_CHECKING:
     from ..copies.driver import CopiesDriver
@@ -18,54 +18,55 @@
     from ..core.jobs import Job
 
 
-class Promises:
-    """`serving`: this process has the door, and so the folder."""
+class CopiesLifecycle:
+    """`serving`: this process accepts the proxy's connections, and so uses the folder of the copies."""
 
-    def __init__(self, plant: ProxyConfig, desk: DispatcherDriver, peers: Peers) -> None:
-        self.config, self.dispatcher, self.peers = plant, desk, peers
+    def __init__(self, config: ProxyConfig, dispatcher: DispatcherDriver, peers: FleetLifecycle) -> None:
+        self.config, self.dispatcher, self.peers = config, dispatcher, peers
         self.driver: CopiesDriver | None = None
         self.fleet_maintenance: FleetMaintenance | None = None
-        self.out_here: Collection[str] = ()
-        self.do: Callable[[dict[str, Any]], int] = lambda tree: 500  # a call at this proxy alone
+        self.nodes_out_locally: Collection[str] = ()
+        # Applies an operator's call at this proxy alone.
+        self.apply_locally: Callable[[dict[str, Any]], int] = lambda tree: 500
         self.serving = False
 
     @staticmethod
-    def check(plant: ProxyConfig) -> None:
-        """ConfigError where the operator's file and the platform's do not go together."""
-        takes = plant.operator.copies.memory_mb
-        if takes > plant.memory_mb // 2:
+    def check(config: ProxyConfig) -> None:
+        """Raises ConfigError where the operator's file contradicts the platform's."""
+        memory_mb = config.operator.copies.memory_mb
+        if memory_mb > config.memory_mb // 2:
             raise ConfigError(
-                f"copies.most: takes {takes} MB, more than half of the {plant.memory_mb} MB there are"
+                f"copies.most: takes {memory_mb} MB, more than half of the {config.memory_mb} MB there are"
             )
-        for name in plant.operator.ledger.classes:
-            if name not in plant.classes:
+        for name in config.operator.ledger.classes:
+            if name not in config.classes:
                 raise ConfigError(f"ledger.classes: no such class: {name[:60]!r}")
 
-    def settle(self, plant: ProxyConfig) -> None:
-        """As the settings now want it, after the peers have been settled. It finds nothing wrong any more."""
-        old, self.config = self.config.operator, plant
-        same = self.driver is not None and self.driver.fleet is self.peers.driver
-        same = same and old.fleet.maintenance == plant.operator.fleet.maintenance
-        if not (same and old.copies == plant.operator.copies):
+    def apply_settings(self, config: ProxyConfig) -> None:
+        """Applies the settings. Called after the fleet's settings were applied; does not reject settings."""
+        old, self.config = self.config.operator, config
+        unchanged = self.driver is not None and self.driver.fleet is self.peers.driver
+        unchanged = unchanged and old.fleet.maintenance == config.operator.fleet.maintenance
+        if not (unchanged and old.copies == config.operator.copies):
             self._close()
             self._open()
-        self._keeper()
+        self._configure_ledger()
 
     def _open(self) -> None:
-        terms, link = self.config.operator.copies, self.peers.driver
-        if not (self.serving and link and terms.voters):
+        settings, fleet = self.config.operator.copies, self.peers.driver
+        if not (self.serving and fleet and settings.voters):
             return
         from ..copies.driver import CopiesDriver
 
-        self.driver = CopiesDriver(self.config.name, terms, link, self.config.seed)
+        self.driver = CopiesDriver(self.config.name, settings, fleet, self.config.seed)
         self.driver.open()
         if self.config.operator.fleet.maintenance == "fleet":
             from ..copies.fleet_maintenance import MAINTENANCE_TOPIC, FleetMaintenance
 
             self.fleet_maintenance = FleetMaintenance(
-                self.driver, lambda tree: self.do(tree), lambda: list(self.out_here)
+                self.driver, lambda tree: self.apply_locally(tree), lambda: list(self.nodes_out_locally)
             )
-            link.peer.handlers[MAINTENANCE_TOPIC] = self.fleet_maintenance.receive
+            fleet.peer.handlers[MAINTENANCE_TOPIC] = self.fleet_maintenance.receive
             self.fleet_maintenance.open()
 
     def _close(self) -> None:
@@ -76,60 +77,65 @@
             self.driver.close()
             self.driver = None
 
-    def _keeper(self) -> None:
-        terms = self.config.operator.ledger
-        if not (self.driver and terms.classes):
+    def _configure_ledger(self) -> None:
+        settings = self.config.operator.ledger
+        if not (self.driver and settings.classes):
             self.dispatcher.intent_store = None
             return
         from ..copies.idempotency_ledger import IdempotencyLedger
 
-        held = self.dispatcher.intent_store
-        if isinstance(held, IdempotencyLedger) and held.registers is self.driver:
-            held.settings = (
-                terms  # it knows whose attempts are out: another one could not write down how they end
-            )
+        current = self.dispatcher.intent_store
+        if isinstance(current, IdempotencyLedger) and current.registers is self.driver:
+            # The ledger tracks the running attempts; a new one could not record how they end.
+            current.settings = settings
             return
-        keeper = IdempotencyLedger(
-            self.driver, self.dispatcher, terms, execution_evidence, self._names, self.config.seed
+        ledger = IdempotencyLedger(
+            self.driver,
+            self.dispatcher,
+            settings,
+            execution_evidence,
+            self._class_and_tenant,
+            self.config.seed,
         )
-        keeper.schedule = lambda span, ring: Timer(clock() + span, ring)
-        self.dispatcher.intent_store = keeper
+        ledger.schedule = lambda delay, callback: Timer(clock() + delay, callback)
+        self.dispatcher.intent_store = ledger
 
-    def _names(self, job: Job) -> tuple[str, str]:
+    def _class_and_tenant(self, job: Job) -> tuple[str, str]:
         classes = {number: name for name, number in self.config.classes.items()}
         tenants = {number: name for name, number in self.config.accounts.items()}
         return classes.get(job.cls, ""), tenants.get(job.tenant, "")
 
     def serve(self) -> None:
-        """This process speaks for the proxy from now on."""
+        """This process serves for the proxy from now on."""
         self.serving = True
         if not self.driver:
             self._open()
-            self._keeper()
+            self._configure_ledger()
 
-    def rest(self) -> None:
-        """Another process of this proxy takes the folder."""
+    def suspend(self) -> None:
+        """Releases the folder: another process of this proxy takes it over."""
         self.serving = False
         self._close()
-        self._keeper()
+        self._configure_ledger()
 
-    def leave(self) -> None:
-        """The process ends."""
+    def stop(self) -> None:
+        """Drains and closes the driver as the process ends."""
         if self.driver:
             self.driver.drain()
-        self.rest()
+        self.suspend()
 
-    def change(self, what: str, name: str, new: str) -> str | None:
-        """An operator's wish who is to vote. "": it has begun; None: there is no group."""
-        return self.driver.change_voters(what, name, new) if self.driver else None
+    def change_voters(self, kind: str, name: str, new: str) -> str | None:
+        """Starts a change of voters. Returns "" where it has begun, else the reason; None: there is no group."""
+        return self.driver.change_voters(kind, name, new) if self.driver else None
 
-    def node(self, ident: str, out: bool) -> str | None:
-        """An operator's call about a node, for all proxies: why it was not done, "": it was. None: each has its own."""
+    def set_node_out(self, ident: str, out: bool) -> str | None:
+        """Takes a node out, or back in, at all proxies. Returns "" where this was done, else the reason;
+        None where each proxy keeps its own list."""
         return self.fleet_maintenance.set_for_fleet(ident, out) if self.fleet_maintenance else None
 
     def status(self) -> dict[str, Any] | None:
-        """None: there is no group."""
+        """The state for operators; None: there is no group."""
         if not self.driver:
             return None
-        keeper: Any = self.dispatcher.intent_store
-        return self.driver.status() | {"ledger": keeper.counts if keeper else {}}
+        ledger: Any = self.dispatcher.intent_store
+        return self.driver.status() | {"ledger": ledger.counts if ledger else {}}
--- a/slatehub/cli/recorder_lifecycle.py
+++ b/slatehub/cli/recorder_lifecycle.py
@@ -1,5 +1,5 @@
-"""The flight recorder's place in the program: switched on and off, asked for a file, ended. It owns whether there is a
-recorder. It must never load one that is not wanted."""
+"""Starts, reconfigures and stops the flight recorder as the settings require, and writes a file on request. The
+recorder's module is imported only where the settings switch it on."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 
 def module_sha256() -> str:
-    """SHA-256 of the decision module's text. To be taken at the start: later the file may be another."""
+    """SHA-256 of the decision module's source text, "" where it cannot be read. Call it at the start: later the
+    file may have been replaced."""
     try:
         with open(str(balance.__file__), "rb") as file:
             return hashlib.sha256(file.read()).hexdigest()
@@ -27,41 +28,44 @@
         return ""
 
 
-class Flights:
-    def __init__(self, desk: Dispatcher, idents: dict[int, str]) -> None:
-        self.dispatcher = desk
-        self.node_ids = idents
-        self.module = module_sha256()
-        self.terms = RecorderConfig()
+class RecorderLifecycle:
+    """Holds the flight recorder while it is switched on."""
+
+    def __init__(self, dispatcher: Dispatcher, node_ids: dict[int, str]) -> None:
+        self.dispatcher = dispatcher
+        self.node_ids = node_ids
+        self.module_sha256 = module_sha256()
+        self.settings = RecorderConfig()
         self.recorder: FlightRecorder | None = None
 
-    def settle(self, plant: ProxyConfig) -> None:
-        """As the settings now want it. ConfigError, and nothing changed, where it cannot be switched on."""
-        terms = plant.operator.recorder
-        if not terms.batches:
+    def apply_settings(self, config: ProxyConfig) -> None:
+        """Applies the settings. Raises ConfigError, with nothing changed, where the recorder cannot be switched on."""
+        settings = config.operator.recorder
+        if not settings.batches:
             self.recorder = None
         elif self.recorder is None or self.recorder.ring is None:
-            self.recorder = self._made(plant, terms)
+            self.recorder = self._create_recorder(config, settings)
         if self.recorder:
-            self.recorder.configure(self._about(plant), terms.batches, terms.folder, terms.keep)
-        self.terms = terms
+            self.recorder.configure(self._about(config), settings.batches, settings.folder, settings.keep)
+        self.settings = settings
         self.dispatcher.recorder = self.recorder
 
-    def _made(self, plant: ProxyConfig, terms: RecorderConfig) -> FlightRecorder:
+    def _create_recorder(self, config: ProxyConfig, settings: RecorderConfig) -> FlightRecorder:
         try:
             from ..observe.recorder import FlightRecorder
 
-            return FlightRecorder(lambda: self.dispatcher.balancer, lambda: self.node_ids, terms.batches)
-        except Exception as problem:  # installed and yet not to be loaded, or a module that cannot be frozen
+            return FlightRecorder(lambda: self.dispatcher.balancer, lambda: self.node_ids, settings.batches)
+        except Exception as problem:
+            # msgspec is installed but fails to import, or the module's state cannot be serialized.
             raise ConfigError(
                 f"recorder.batches: cannot record: {type(problem).__name__}: {problem}"
             ) from None
 
-    def _about(self, plant: ProxyConfig) -> tuple[str, int, str, str]:
-        return plant.name, plant.settings.tier, __version__, self.module
+    def _about(self, config: ProxyConfig) -> tuple[str, int, str, str]:
+        return config.name, config.settings.tier, __version__, self.module_sha256
 
-    def asked(self) -> None:
-        """SIGUSR2."""
+    def write_requested(self) -> None:
+        """Writes a recording; called on SIGUSR2."""
         if self.recorder:
             self.recorder.write("asked")
         else:
@@ -69,4 +73,4 @@
 
     def finish(self) -> None:
         if self.recorder:
-            self.recorder.finish(self.terms.on_stop)
+            self.recorder.finish(self.settings.on_stop)
--- a/slatehub/cli/store.py
+++ b/slatehub/cli/store.py
@@ -1,5 +1,5 @@
-"""`slatehub store`: the folder of a proxy's copies, read while no proxy has it. It must never change a record, nor
-call a folder sound of which something that had been durable cannot be read."""
+"""`slatehub store`: reads the folder of a proxy's copies while no proxy uses it. Never changes a record, and never
+reports a folder as sound where data that had been durable cannot be read."""
 
 from __future__ import annotations
 
@@ -30,15 +30,14 @@
 from ..decisions.idempotency import STATE_COMPLETED, STATE_NEVER_RAN, STATE_SENT, decode_idempotency_record
 from ..store.files import DiskFolder, Folder
 from ..store.frames import scan_frames
-from ..store.write_ahead_log import RecoveryResult, StoreError, WriteAheadLog
-from ..store.write_ahead_log import iter_records as every
+from ..store.write_ahead_log import RecoveryResult, StoreError, WriteAheadLog, iter_records
 
 STATES = {STATE_SENT: "sent", STATE_NEVER_RAN: "never ran", STATE_COMPLETED: "ran"}
 folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
-class Glass:
-    """A folder that is only looked at."""
+class ReadOnlyFolder:
+    """A folder opened for reading: ignores the lock file, and every write does nothing."""
 
     def __init__(self, folder: str) -> None:
         self.disk = DiskFolder(folder)
@@ -72,22 +71,22 @@
 
 @click.group()
 def store() -> None:
-    """The folder of a proxy's copies. None of these while a proxy runs on it."""
+    """The folder of a proxy's copies. Call these commands only while no proxy uses it."""
 
 
 @contextmanager
-def looked(folder: str) -> Iterator[Folder]:
+def open_read_only(folder: str) -> Iterator[Folder]:
     try:
-        glass = Glass(folder)
+        files = ReadOnlyFolder(folder)
     except OSError as problem:
         raise click.ClickException(f"{folder}: {problem.strerror or problem}") from None
     try:
-        yield glass
+        yield files
     finally:
-        glass.disk.close()
+        files.disk.close()
 
 
-def opened(files: Folder) -> tuple[WriteAheadLog, RecoveryResult]:
+def open_log(files: Folder) -> tuple[WriteAheadLog, RecoveryResult]:
     log = WriteAheadLog(files)
     try:
         return log, log.open()
@@ -95,10 +94,10 @@
         raise click.ClickException(str(problem)) from None
 
 
-def shown(one: LogRecord) -> dict[str, Any]:
-    """A record as JSON; of an order, what is known of it."""
-    if isinstance(one, StateAccepted):
-        row = one.state
+def record_as_json(record: LogRecord) -> dict[str, Any]:
+    """A record as JSON; for the record of an idempotent request, its decoded fields."""
+    if isinstance(record, StateAccepted):
+        row = record.state
         tree: dict[str, Any] = {
             "register": row.key.hex(),
             "counter": row.ballot.counter,
@@ -108,19 +107,19 @@
             return tree | {"group": msgspec.to_builtins(decode_config(row.value))}
         entry = decode_idempotency_record(row.value)
         return tree | (asdict(entry) | {"state": STATES[entry.state]} if entry else {"unread": True})
-    kind = {ConfigAdopted: "group", CaughtUp: "caught up"}.get(type(one), "ceiling")
-    return {"record": kind, "value": msgspec.to_builtins(one)[1]}
+    kind = {ConfigAdopted: "group", CaughtUp: "caught up"}.get(type(record), "ceiling")
+    return {"record": kind, "value": msgspec.to_builtins(record)[1]}
 
 
 @store.command()
 @folder_argument
 def verify(folder: str) -> None:
-    """Whether all that had been durable can be read. Exit 1 where not: such a machine counts as a new voter."""
-    with looked(folder) as files:
+    """Checks that all durable data can be read. Exit 1 where not: such a proxy counts as a new voter."""
+    with open_read_only(folder) as files:
         for name in files.list_names():
             for begin, end in scan_frames(files.read(name)).gaps:
                 click.echo(f"{name}: bytes {begin} to {end} are no records")
-        _, found = opened(files)
+        _, found = open_log(files)
         unread = 0
         for body in found.records:
             try:
@@ -140,40 +139,40 @@
 @store.command()
 @folder_argument
 def dump(folder: str) -> None:
-    """Every good record, as a line of JSON with its file and place, whether or not it still counts."""
-    with looked(folder) as files:
-        for name, at, body in every(files):
+    """Prints every readable record, current or superseded, as a line of JSON with its file and offset."""
+    with open_read_only(folder) as files:
+        for name, at, body in iter_records(files):
             try:
-                line = shown(decode_record(body))
+                line = record_as_json(decode_record(body))
             except MessageError:
                 line = {"unread": body.hex()}
             click.echo(json.dumps({"file": name, "at": at} | line, default=repr))
 
 
-def held(folder: str) -> tuple[WriteAheadLog, RecoveryResult, Acceptor, list[LogRecord]]:
-    with looked(folder) as files:
-        log, found = opened(files)
-    good = []
+def restore_acceptor(folder: str) -> tuple[WriteAheadLog, RecoveryResult, Acceptor, list[LogRecord]]:
+    with open_read_only(folder) as files:
+        log, found = open_log(files)
+    records = []
     for body in found.records:
         try:
-            good.append(decode_record(body))
+            records.append(decode_record(body))
         except MessageError:
             continue
     acceptor = Acceptor(2_000_000)
-    acceptor.restore(good, 0)
-    return log, found, acceptor, good
+    acceptor.restore(records, 0)
+    return log, found, acceptor, records
 
 
 @store.command()
 @folder_argument
 def stat(folder: str) -> None:
-    """How much there is of what."""
-    log, found, acceptor, good = held(folder)
+    """Counts records, registers by state, voters and bytes."""
+    log, found, acceptor, records = restore_acceptor(folder)
     states = Counter[str]()
     for register in acceptor.registers.values():
         entry = decode_idempotency_record(register.state.value)
         states[STATES[entry.state] if entry else "other"] += 1
-    groups = [one.config for one in good if isinstance(one, ConfigAdopted)]
+    groups = [record.config for record in records if isinstance(record, ConfigAdopted)]
     newest = max(groups, key=lambda group: group.epoch, default=None)
     click.echo(
         f"store: {log.store_id:016x}\nrecords: {len(found.records)}\nregisters: {len(acceptor.registers)}"
@@ -187,30 +186,30 @@
 @store.command()
 @folder_argument
 def export(folder: str) -> None:
-    """The registers as they stand, a line of JSON each."""
-    _, _, acceptor, _ = held(folder)
+    """Prints the current registers, a line of JSON each."""
+    _, _, acceptor, _ = restore_acceptor(folder)
     for register in acceptor.registers.values():
-        click.echo(json.dumps(shown(StateAccepted(register.state)), default=repr))
+        click.echo(json.dumps(record_as_json(StateAccepted(register.state)), default=repr))
 
 
 @store.command()
 @folder_argument
 def compact(folder: str) -> None:
-    """Writes what still counts into one checkpoint, as a running proxy does by itself."""
+    """Writes the current state into one checkpoint, as a running proxy does by itself."""
     try:
         log = WriteAheadLog(DiskFolder(folder))
         found = log.open()
         if found.damage or found.is_copy:
             raise click.ClickException("not sound: `slatehub store verify` tells more")
-        good = [decode_record(body) for body in found.records]
+        records = [decode_record(body) for body in found.records]
         acceptor = Acceptor(2_000_000)
-        acceptor.restore(good, 0)
-        epochs = [x for x in good if isinstance(x, ConfigAdopted)][-1:] + [
-            x for x in good if isinstance(x, CaughtUp)
+        acceptor.restore(records, 0)
+        epochs = [x for x in records if isinstance(x, ConfigAdopted)][-1:] + [
+            x for x in records if isinstance(x, CaughtUp)
         ][-1:]
         before = log.size
         checkpoint = log.checkpoint()
-        checkpoint.append([pack(one) for one in (*epochs, *acceptor.snapshot())])
+        checkpoint.append([pack(record) for record in (*epochs, *acceptor.snapshot())])
         checkpoint.finish()
         log.close()
     except (MessageError, StoreError, OSError) as problem:
