--- a/slatehub/settings/__init__.py
+++ b/slatehub/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The one reader of everything that a proxy is told: the platform's environment and JSON, and the operator's file."""
+"""Reads all of a proxy's settings: the platform's environment and JSON file, and the operator's file."""
--- a/slatehub/settings/errors.py
+++ b/slatehub/settings/errors.py
@@ -1,6 +1,5 @@
-"""What a wrong setting is called, whichever file it stands in. Nothing else stands here."""
+"""The error for a wrong setting, whichever file holds it."""
 
 
 class ConfigError(Exception):
-    """Something a proxy is told is missing or wrong; the text begins with the file, where there are several, and the
-    key."""
+    """A setting is missing or wrong. The text begins with the file, where there are several, and the key."""
--- a/slatehub/settings/file.py
+++ b/slatehub/settings/file.py
@@ -1,12 +1,12 @@
-"""How a file of settings comes into memory. It must never take in more than it is told to, or look at what is in it."""
+"""Reads a settings file with a limit on its size, without interpreting it."""
 
 from __future__ import annotations
 
 
-def whole(path: str, largest: int) -> bytes:
-    """All of it. OSError; ValueError where it is larger."""
+def read_limited(path: str, max_bytes: int) -> bytes:
+    """The whole file. Raises OSError, and ValueError where the file is larger than `max_bytes`."""
     with open(path, "rb") as file:
-        data = file.read(largest + 1)
-    if len(data) > largest:
-        raise ValueError(f"larger than {largest} bytes")
+        data = file.read(max_bytes + 1)
+    if len(data) > max_bytes:
+        raise ValueError(f"larger than {max_bytes} bytes")
     return data
--- a/slatehub/settings/operator.py
+++ b/slatehub/settings/operator.py
@@ -1,8 +1,8 @@
-"""The operator's own file: TOML, named by `--operator` or SLATEHUB_OPERATOR. This file owns its tables, their keys,
-defaults and bounds. It must never guess: an unknown key is an error, and every error names the file and the key.
+"""The operator's own file: TOML, named by `--operator` or SLATEHUB_OPERATOR. Defines its tables, their keys, defaults
+and bounds. An unknown key is an error, and every error names the file and the key.
 
-A further table is a dataclass like those below and a line in `OperatorConfig`. Each field's rule checks one value;
-`check` sees the whole table."""
+To add a table, write a dataclass like those below and a field of `OperatorConfig`. The rule of a field checks one
+value; `check` checks the whole table."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from typing import Any
 
 from .errors import ConfigError
-from .file import whole as read_whole
+from .file import read_limited
 
-LARGEST = 1024 * 1024  # bytes of the file
-Rule = Callable[[Any], Any]  # the value as it is kept; ValueError says what is wrong with it
+MAX_FILE_BYTES = 1024 * 1024  # bytes of the file
+Rule = Callable[[Any], Any]  # returns the value to store; raises ValueError with the reason
 
 
 class InvalidSettingError(ValueError):
-    """A value that is wrong only beside others."""
+    """A value that is wrong in combination with others or with the system, reported for `key`."""
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(text)
@@ -42,7 +42,7 @@
 
     def rule(value: Any) -> float:
         good = isinstance(value, int if whole else (int, float)) and not isinstance(value, bool)
-        if not good or not least <= value <= most:  # neither nan nor infinity is
+        if not good or not least <= value <= most:  # False for nan and infinity, too
             raise ValueError(f"must be a {kind} from {least:g} to {most:,}")
         return int(value) if whole else float(value)
 
@@ -58,8 +58,8 @@
     return field(default=usual, metadata={"rule": rule})
 
 
-def place_text(value: Any) -> tuple[str, int]:
-    """host:port of this or another machine: an address, as there is no name look-up."""
+def parse_ip_address(value: Any) -> tuple[str, int]:
+    """ADDRESS:PORT as a pair. The host must be an IP address, as names are not resolved."""
     from ipaddress import ip_address
 
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
@@ -72,25 +72,25 @@
     return found, int(port)
 
 
-def place() -> Any:
-    """None: not set."""
+def optional_address() -> Any:
+    """An optional address; None: not set."""
 
     def rule(value: Any) -> tuple[str, int] | None:
-        return place_text(value) if value != "" else None
+        return parse_ip_address(value) if value != "" else None
 
     return field(default=None, metadata={"rule": rule})
 
 
-def places(most: int) -> Any:
+def address_list(most: int) -> Any:
     def rule(value: Any) -> tuple[tuple[str, int], ...]:
         if not isinstance(value, list) or len(value) > most:
             raise ValueError(f"must be a list of at most {most} addresses")
-        return tuple(place_text(item) for item in value)
+        return tuple(parse_ip_address(item) for item in value)
 
     return field(default=(), metadata={"rule": rule})
 
 
-def words(most: int, longest: int) -> Any:
+def name_list(most: int, longest: int) -> Any:
     def rule(value: Any) -> tuple[str, ...]:
         good = isinstance(value, list) and len(value) <= most and len({*map(str, value)}) == len(value)
         if not good or not all(
@@ -103,7 +103,7 @@
 
 
 def header_name(usual: str) -> Any:
-    """Kept in small letters."""
+    """Stored in lower case."""
 
     def rule(value: Any) -> str:
         if not isinstance(value, str) or not 0 < len(value) <= 64 or not value.replace("-", "").isalnum():
@@ -127,9 +127,9 @@
     """[log]"""
 
     format: str = one_of("logfmt", "json")
-    level: str = one_of("info", "debug", "warning", "error")  # the least that is written
+    level: str = one_of("info", "debug", "warning", "error")  # the lowest level that is written
     per_topic_per_s: float = number(1.0, 0.001, 1000.0)
-    burst: float = number(5.0, 1.0, 10_000.0)  # lines of a topic at once
+    burst: float = number(5.0, 1.0, 10_000.0)  # lines of a topic in a row, before the rate applies
     longest: int = number(400, 40, 2000, whole=True)  # characters of a line's text
 
     def check(self) -> None: ...
@@ -139,14 +139,15 @@
 class RecorderConfig:
     """[recorder]"""
 
-    batches: int = number(0, 0, 100_000, whole=True)  # kept in memory; 0: off
+    batches: int = number(0, 0, 100_000, whole=True)  # batches kept in memory; 0: off
     folder: str = text("", 1000)
     on_stop: bool = flag(False)
-    keep: int = number(8, 1, 1000, whole=True)  # files of this proxy in the folder
+    keep: int = number(8, 1, 1000, whole=True)  # files of this proxy kept in the folder
 
     @property
     def memory_mb(self) -> int:
-        """What it will take, as measured: some 100 bytes for a batch, and two frozen modules of some 300 nodes."""
+        """Memory use: about 100 bytes for a batch, counted as 120, and 2 MB for two serialized module states of some
+        300 nodes."""
         return 2 + self.batches * 120 // 1_000_000 if self.batches else 0
 
     def check(self) -> None:
@@ -156,7 +157,7 @@
             raise InvalidSettingError("folder", "must be named while batches is not 0")
         if not os.path.isdir(self.folder):
             raise InvalidSettingError("folder", f"no such folder: {self.folder!r}")
-        _try(self.folder)
+        _check_writable(self.folder)
         from importlib.util import find_spec
 
         if not find_spec("msgspec"):
@@ -169,9 +170,10 @@
 class StormsConfig:
     """[storms]"""
 
-    watch: bool = flag(True)  # say in the log when a storm begins and ends
-    advice: str = one_of("appointments", "exponential", "fixed", "none")  # to refused callers, where allowed
-    pace: bool = flag(True)  # new connections, of callers and to nodes, under a crowd
+    watch: bool = flag(True)  # log when a storm begins and ends
+    # Retry advice to refused callers, where the platform allows it.
+    advice: str = one_of("appointments", "exponential", "fixed", "none")
+    pace: bool = flag(True)  # limit the rate of new connections, from callers and to nodes, under load
 
     def check(self) -> None: ...
 
@@ -180,17 +182,18 @@
 class FleetConfig:
     """[fleet]. Off while `listen` is not set."""
 
-    listen: tuple[str, int] | None = place()  # UDP, for other proxies of this tier
-    advertise: tuple[str, int] | None = place()  # where others reach it, if not there
-    seeds: tuple[tuple[str, int], ...] = places(16)  # some of the others; who is there is learnt from them
-    name: str = text("", 64)  # of the fleet, the same at all
+    listen: tuple[str, int] | None = optional_address()  # UDP, for other proxies of this tier
+    advertise: tuple[str, int] | None = optional_address()  # where others reach it, if not at `listen`
+    # Some of the other proxies; the rest are discovered through them.
+    seeds: tuple[tuple[str, int], ...] = address_list(16)
+    name: str = text("", 64)  # of the fleet, the same at all its proxies
     key_file: str = text("", 1000)
-    maintenance: str = one_of("own", "fleet")  # nodes out by hand: of each proxy, or of all of them
-    share: bool = flag(True)  # what each carries is told, and overload is handled together
+    maintenance: str = one_of("own", "fleet")  # nodes taken out by operators: at each proxy alone, or at all
+    share: bool = flag(True)  # proxies exchange their loads and handle overload together
 
     @property
     def memory_mb(self) -> int:
-        """What it takes, as measured: the serializer, and rows for 200 members."""
+        """Memory use: the serializer, and rows for 200 members."""
         return 4 if self.listen else 0
 
     def check(self) -> None:
@@ -208,7 +211,7 @@
         self.read_keys()
 
     def read_keys(self) -> Any:
-        """The keys of the file, the signing one first, as they are now. InvalidSettingError."""
+        """The current keys of the key file, the signing key first. Raises InvalidSettingError."""
         from .key_file import KeyFileError, read
 
         try:
@@ -219,16 +222,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CopiesConfig:
-    """[copies]. Off while `voters` names none; without a `folder` this proxy asks the voters, and does not vote."""
+    """[copies]. Off while `voters` is empty. Without a `folder` this proxy uses the voters but does not vote itself."""
 
-    folder: str = text("", 1000)  # of this proxy alone, on a disk that lasts
-    voters: tuple[str, ...] = words(9, 64)  # the proxies that found the group: 3 or 5, the same list at all
+    folder: str = text("", 1000)  # used by this proxy alone, on persistent storage
+    # The proxies that form the group at first: 3 or 5, the same list at all proxies.
+    voters: tuple[str, ...] = name_list(9, 64)
     most: int = number(50_000, 1_000, 2_000_000, whole=True)  # registers
-    sync: bool = flag(True)  # false: a loss of power may take promises along; a kill does not
+    sync: bool = flag(True)  # false: a power loss may lose accepted state; a killed process loses none
 
     @property
     def memory_mb(self) -> int:
-        """780 bytes for a register of 150 bytes, as measured; 1,000 are reckoned, and 6 MB for the parts."""
+        """Memory use: a register of 150 bytes takes 780 bytes, counted as 1,000; the components take 6 MB."""
         return 6 + self.most // 1_000 if self.folder else 0
 
     def check(self) -> None:
@@ -248,20 +252,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerConfig:
-    """[ledger]. Off while `classes` names none."""
+    """[ledger]. Off while `classes` is empty."""
 
-    classes: tuple[str, ...] = words(
-        32, 256
-    )  # whose orders must not run twice, whoever repeats them and where
-    header: str = header_name("Idempotency-Key")  # in which a caller names its order
-    require: bool = flag(True)  # an order of such a class without it is turned down
-    keep_s: int = number(86_400, 60, 30 * 86_400, whole=True)  # for so long a repeat is known
+    # Classes whose requests must not run twice, whichever caller repeats them at whichever proxy.
+    classes: tuple[str, ...] = name_list(32, 256)
+    header: str = header_name("Idempotency-Key")  # in which a caller names its request
+    require: bool = flag(True)  # a request of such a class without the header is rejected
+    keep_s: int = number(86_400, 60, 30 * 86_400, whole=True)  # how long a repeat is recognized
 
     def check(self) -> None: ...
 
 
-def _try(folder: str) -> None:
-    """Whether a file can be made there. Only trying tells: a mount may be read-only or full."""
+def _check_writable(folder: str) -> None:
+    """Checks that a file can be created there, by creating one: the mount may be read-only or full."""
     path = os.path.join(folder, f".slatehub-{os.getpid()}.part")
     try:
         os.close(os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600))
@@ -272,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The whole file; each field is a table of it."""
+    """The whole file; each field is one of its tables."""
 
     log: LogConfig = LogConfig()
     recorder: RecorderConfig = RecorderConfig()
@@ -283,13 +286,13 @@
 
 
 def read_operator_file(path: str) -> OperatorConfig:
-    """The file at `path`, checked; without one all is as usual. ConfigError names the file and the key."""
+    """Reads and checks the file at `path`; without a path, the defaults. Raises ConfigError, naming file and key."""
     if not path:
         return OperatorConfig()
-    tree, usual = _tree(path), OperatorConfig()
+    tree, usual = _read_toml(path), OperatorConfig()
     tables = {f.name: type(getattr(usual, f.name)) for f in fields(OperatorConfig)}
-    _known(path, "", tree, tuple(tables))
-    found = {name: _table(path, name, tables[name], tree[name]) for name in tree}
+    _reject_unknown(path, "", tree, tuple(tables))
+    found = {name: _read_table(path, name, tables[name], tree[name]) for name in tree}
     whole = OperatorConfig(**found)
     if whole.copies.voters and not whole.fleet.listen:
         raise ConfigError(f"{path}: copies.voters: needs a fleet: set fleet.listen")
@@ -300,35 +303,37 @@
     return whole
 
 
-def _tree(path: str) -> dict[str, Any]:
+def _read_toml(path: str) -> dict[str, Any]:
     import tomllib
 
     try:
-        return tomllib.loads(read_whole(path, LARGEST).decode())
+        return tomllib.loads(read_limited(path, MAX_FILE_BYTES).decode())
     except (OSError, ValueError, RecursionError) as problem:
         reason = problem.strerror if isinstance(problem, OSError) else problem
         raise ConfigError(f"{path}: cannot be read as TOML: {reason}") from None
 
 
-def _known(path: str, prefix: str, tree: dict[str, Any], names: tuple[str, ...]) -> None:
+def _reject_unknown(path: str, prefix: str, tree: dict[str, Any], names: tuple[str, ...]) -> None:
     for key in tree:
         if key not in names:
             raise ConfigError(f"{path}: {prefix}{key[:60]!s}: unknown; known are {', '.join(names)}")
 
 
-def _table(path: str, name: str, kind: Any, tree: Any) -> Any:
+def _read_table(path: str, name: str, kind: Any, tree: Any) -> Any:
     if not isinstance(tree, dict):
         raise ConfigError(f"{path}: {name}: must be a table")
     rules: dict[str, Rule] = {f.name: f.metadata["rule"] for f in fields(kind)}
-    _known(path, f"{name}.", tree, tuple(rules))
+    _reject_unknown(path, f"{name}.", tree, tuple(rules))
     key = ""
     try:
         values = {}
         for key, value in tree.items():
             values[key] = rules[key](value)
-        terms = kind(**values)
-        terms.check()
+        table = kind(**values)
+        table.check()
     except ValueError as problem:
-        shown = f": {str(tree[key])[:60]!r}" if key and not isinstance(problem, InvalidSettingError) else ""
-        raise ConfigError(f"{path}: {name}.{getattr(problem, 'key', key)}: {problem}{shown}") from None
-    return terms
+        value_text = (
+            f": {str(tree[key])[:60]!r}" if key and not isinstance(problem, InvalidSettingError) else ""
+        )
+        raise ConfigError(f"{path}: {name}.{getattr(problem, 'key', key)}: {problem}{value_text}") from None
+    return table
--- a/slatehub/settings/reader.py
+++ b/slatehub/settings/reader.py
@@ -1,7 +1,7 @@
-"""The plant's papers: all that a proxy is told at its start. This file owns reading, checking and defaulting of
-the environment and of the files it names; nobody else may read either. It must never open a socket, and never
-guess at a value that is there but wrong: it names the faulty key instead. The module's own settings are read by
-paddlestep, from the JSON flattened into the lines which that reader knows; the operator's own file by `operator`."""
+"""The platform's configuration of a proxy. Reads, checks and fills in defaults for the environment and the files that
+it names; no other module reads either. Opens no socket. A present but wrong value is an error that names the key, and
+is never replaced by a default. The decision module's settings are parsed by paddlestep, from the JSON flattened into
+the lines of its wire format; the operator's own file is read by `operator`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from . import operator
 from .errors import ConfigError
-from .file import whole
+from .file import read_limited
 
 __all__ = [
     "Address",
@@ -28,24 +28,23 @@
 ]
 
 Address = tuple[str, int]
-LARGEST = 8 * 1024 * 1024  # bytes of the file: a list of nodes at its largest, twice over
-FAR = 2**53  # of any figure
-LONGEST_NAME = 256
-# What the settings may be at the least, where less would stop the proxy or have it spin. Missing ones are the module's.
-LEAST = {
+MAX_FILE_BYTES = 8 * 1024 * 1024  # bytes: twice the largest list of nodes
+NUMBER_LIMIT = 2**53  # exclusive upper bound of every number
+MAX_NAME_CHARS = 256
+# Minimum values of settings that, if lower, would stop the proxy or make it spin. The module supplies missing ones.
+MINIMUMS = {
     "tick_us": 1, "siblings": 0, "me": 0, "my_zone": 0, "tier": 0, "allowed.connect_timeout_us": 1,
     "allowed.max_retry_after_us": 0, "obligations.answer_slack_us": 0, "obligations.drain_grace_us": 0,
     "obligations.ask_every_us": 10_000, "obligations.cold_from": 0, "obligations.warm_after_us": 0,
     "obligations.fall_multiple": 0, "obligations.tip_after_us": 0,
 }  # fmt: skip
-MAX_NUMBERED_NAMES = (
-    256  # of classes, and of accounts: more than a file has, so that numbers are seldom used again
-)
+# Of classes, and of accounts: more than a file has, so that numbers are seldom reused.
+MAX_NUMBERED_NAMES = 256
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyConfig:
-    """Everything one proxy knows before it meets anybody."""
+    """The complete configuration of one proxy."""
 
     name: str
     listen: Address
@@ -53,35 +52,35 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: dict[str, Any]  # the list of nodes in discovery's form, perhaps old
+    known: dict[str, Any]  # a list of nodes in discovery's format, possibly outdated
     settings: Settings
     classes: dict[str, int]
-    accounts: dict[str, int]  # empty: the site has none
+    accounts: dict[str, int]  # empty: the site has no accounts
     kinds: dict[str, int]
     zones: dict[str, int]
-    max_open: int  # jobs in hand at once
-    conn_idle_us: int  # nodes close a connection that was idle for this long
-    all_classes: dict[str, int]  # with those that an earlier file named and this one does not
+    max_open: int  # jobs open at once
+    conn_idle_us: int  # a node closes a connection that was idle for this long
+    all_classes: dict[str, int]  # includes those that an earlier file named and this one does not
     all_accounts: dict[str, int]
     operator: operator.OperatorConfig = operator.OperatorConfig()
-    keys: frozenset[str] = frozenset()  # all that the file holds
-    mgmt: Address | None = None  # where operators call; None: nowhere
+    keys: frozenset[str] = frozenset()  # paths of all keys in the file
+    mgmt: Address | None = None  # the operators' address; None: management is off
 
 
 def flatten(value: Any, path: str = "") -> list[str]:
-    """Nested settings as the path=value lines of the module's wire."""
-    dot = path + "." if path else ""
+    """Nested settings as the path=value lines of the decision module's wire format."""
+    prefix = path + "." if path else ""
     if isinstance(value, dict):
-        return [line for key, item in value.items() for line in flatten(item, f"{dot}{key}")]
+        return [line for key, item in value.items() for line in flatten(item, f"{prefix}{key}")]
     if isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        lines = [f"{dot}count={len(value)}"]
-        return lines + [line for i, item in enumerate(value) for line in flatten(item, f"{dot}{i}")]
+        lines = [f"{prefix}count={len(value)}"]
+        return lines + [line for i, item in enumerate(value) for line in flatten(item, f"{prefix}{i}")]
     if isinstance(value, list):
-        return [f"{path}={','.join(_word(item) for item in value)}"]
-    return [] if value is None else [f"{path}={_word(value)}"]
+        return [f"{path}={','.join(_format_value(item) for item in value)}"]
+    return [] if value is None else [f"{path}={_format_value(value)}"]
 
 
-def _word(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float):
@@ -90,90 +89,92 @@
 
 
 def parse_address(text: Any, key: str) -> Address:
-    """host:port as a pair; an IPv6 host stands in brackets."""
+    """host:port as a pair; an IPv6 host is written in brackets. Raises ConfigError, naming `key`."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{key}: not an address host:port: {str(text)[:60]!r}")
     return host.strip("[]"), int(port)
 
 
-def _item(tree: Any, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """The value at a dotted path, of the kind asked for; a missing one takes the default, if there is one."""
-    at = tree
+def _value_at(tree: Any, path: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    """The value at a dotted path, checked for its type. A missing value takes the default, if there is one."""
+    value = tree
     for part in path.split("."):
-        at = at.get(part) if isinstance(at, dict) else None
-    if at is None:
+        value = value.get(part) if isinstance(value, dict) else None
+    if value is None:
         if default is None:
             raise ConfigError(f"{path}: missing")
         return default
-    if not isinstance(at, kind) or (isinstance(at, bool) and kind is not bool):
-        raise ConfigError(f"{path}: has the wrong type: {str(at)[:60]!r}")
-    return at
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        raise ConfigError(f"{path}: has the wrong type: {str(value)[:60]!r}")
+    return value
 
 
-def _whole(tree: Any, path: str, default: int, least: int) -> int:
-    value = _item(tree, path, (int, float), default)
-    if not least <= value < FAR:  # neither nan nor infinity is
-        raise ConfigError(f"{path}: must be a number, {least} or more: {str(value)[:60]}")
+def _integer_at(tree: Any, path: str, default: int, minimum: int) -> int:
+    value = _value_at(tree, path, (int, float), default)
+    if not minimum <= value < NUMBER_LIMIT:  # False for nan and infinity, too
+        raise ConfigError(f"{path}: must be a number, {minimum} or more: {str(value)[:60]}")
     return int(value)
 
 
-def _numbered(tree: Any, path: str) -> dict[str, int]:
-    """The places of the names in a list of settings; the raw names, as callers and discovery write them."""
-    names = [x.get("name") if isinstance(x, dict) else x for x in _item(tree, path, list, [])]
+def _index_by_name(tree: Any, path: str) -> dict[str, int]:
+    """The index of each name in a list of settings. Names are kept raw, as callers and discovery write them."""
+    names = [x.get("name") if isinstance(x, dict) else x for x in _value_at(tree, path, list, [])]
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
-        raise ConfigError(f"{path}: names are missing or stand twice")
+        raise ConfigError(f"{path}: names are missing or duplicated")
     return {str(name): i for i, name in enumerate(names)}
 
 
 def keys_of(tree: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys. Of a list of objects those that each of them has, as path[].key; of nodes known, none."""
+    """The paths of all keys; for a list of objects, the keys that all of them have, as path[].key. None below `known`."""
     if isinstance(tree, dict) and path != "known":
-        dot = path + "." if path else ""
-        below = [keys_of(item, f"{dot}{key}") | {f"{dot}{key}"} for key, item in tree.items()]
+        prefix = path + "." if path else ""
+        below = [keys_of(item, f"{prefix}{key}") | {f"{prefix}{key}"} for key, item in tree.items()]
         return frozenset().union(*below)
     if isinstance(tree, list) and tree and all(isinstance(item, dict) for item in tree):
         return frozenset.intersection(*(keys_of(item, path + "[]") for item in tree))
     return frozenset()
 
 
-def _has_all(old: ProxyConfig, new: ProxyConfig) -> None:
-    """Guards against a file cut or written halfway, whose missing keys would take their defaults."""
+def _check_no_key_lost(old: ProxyConfig, new: ProxyConfig) -> None:
+    """Rejects a truncated or partly written file, whose missing keys would otherwise take their defaults."""
     for key in sorted(old.keys - new.keys):
-        listed = key.rpartition("[]")[0]  # what an empty list's items would have is not missed
+        listed = key.rpartition("[]")[0]  # keys of the items of a list that is now empty are not required
         if not listed or any(x.startswith(listed + "[]") for x in new.keys):
-            raise ConfigError(f"EDGE_CONFIG: {key}: missing, and the file in force has it")
+            raise ConfigError(f"EDGE_CONFIG: {key}: missing, although the file in force has it")
 
 
-def _placed(
-    names: dict[str, int], fresh: dict[str, int], rows: list[Any], new: tuple[Any, ...]
+def _merge_rows(
+    names: dict[str, int], new_names: dict[str, int], rows: list[Any], new: tuple[Any, ...]
 ) -> dict[str, int]:
-    """Where each fresh name stands among the rows, which take its new terms: where it stood, else behind the others or,
-    where there are many, in the place of one that is no longer named. All names that then have a place."""
-    places = dict(names)
-    for name, i in fresh.items():
-        if name not in places:
-            places[name] = _place(places, fresh, len(rows))
-        rows[places[name] : places[name] + 1] = [new[i]]
-    return places
+    """Writes the new settings of each name of the new file into the rows, and returns the index of every numbered name.
+    A known name keeps its index; another is appended or, from MAX_NUMBERED_NAMES rows on, replaces one that is gone."""
+    indices = dict(names)
+    for name, i in new_names.items():
+        if name not in indices:
+            indices[name] = _new_index(indices, new_names, len(rows))
+        rows[indices[name] : indices[name] + 1] = [new[i]]
+    return indices
 
 
-def _place(places: dict[str, int], fresh: dict[str, int], count: int) -> int:
+def _new_index(indices: dict[str, int], new_names: dict[str, int], count: int) -> int:
     spare = (
-        next((name for name in places if name not in fresh), None) if count >= MAX_NUMBERED_NAMES else None
+        next((name for name in indices if name not in new_names), None)
+        if count >= MAX_NUMBERED_NAMES
+        else None
     )
-    return count if spare is None else places.pop(spare)
+    return count if spare is None else indices.pop(spare)
 
 
 def merge_reloaded(old: ProxyConfig, new: ProxyConfig) -> ProxyConfig:
-    """The new papers for a proxy at work. Classes and accounts known before keep their numbers, as jobs in hand and
-    the module go by these; new ones follow, and one that is gone from the file has no name to be asked for by. The
-    seed and the list in hand stay, as they are newer than the file's. ConfigError where the new file lacks a key that
-    the one in force has."""
-    _has_all(old, new)
+    """The new configuration for a running proxy. Known classes and accounts keep their numbers, as open jobs and the
+    decision module refer to these; new ones follow, and one that is gone from the file can no longer be requested by
+    name. The current seed and list of nodes stay, as they are newer than the file's. Raises ConfigError where the new
+    file lacks a key that the file in force has."""
+    _check_no_key_lost(old, new)
     kinds, tenants = list(old.settings.classes), list(old.settings.tenants)
-    classes = _placed(old.all_classes, new.classes, kinds, new.settings.classes)
-    accounts = _placed(old.all_accounts, new.accounts, tenants, new.settings.tenants)
+    classes = _merge_rows(old.all_classes, new.classes, kinds, new.settings.classes)
+    accounts = _merge_rows(old.all_accounts, new.accounts, tenants, new.settings.tenants)
     return replace(
         new,
         seed=old.seed,
@@ -186,51 +187,53 @@
     )
 
 
-def _no_number(text: str) -> None:
-    raise ValueError(f"{text} is no JSON")
+def _reject_constant(text: str) -> None:
+    raise ValueError(f"{text} is not valid JSON")
 
 
-def _terms(tree: dict[str, Any]) -> None:
-    """Attempts and deadlines, on which every answer hangs: finite numbers above 0. Lists must be lists, as a count of
-    their items is read from what they flatten to; and no figure may lie where the proxy would spin or stand still."""
+def _check_module_settings(tree: dict[str, Any]) -> None:
+    """Checks the module's settings. The limits of attempts and deadlines must be finite numbers above 0. Lists must be
+    lists, as the number of their items is read from their flattened form. Values below MINIMUMS are rejected."""
     allowed = tree["settings"].get("allowed")
-    _positive(
+    _check_positive(
         allowed.get("max_attempts") if isinstance(allowed, dict) else None, "settings.allowed.max_attempts", 1
     )
-    for i, kind in enumerate(_item(tree, "settings.services", list, [])):
+    for i, kind in enumerate(_value_at(tree, "settings.services", list, [])):
         for key in ("slo_us", "hard_limit_us") if isinstance(kind, dict) else ():
-            _positive(kind.get(key), f"settings.services.{i}.{key}", 0)
+            _check_positive(kind.get(key), f"settings.services.{i}.{key}", 0)
     for key in ("tenants", "stages", "kinds", "zones"):
-        if len(_item(tree, f"settings.{key}", list, [])) > MOST_ITEMS:
+        if len(_value_at(tree, f"settings.{key}", list, [])) > MOST_ITEMS:
             raise ConfigError(f"settings.{key}: more than {MOST_ITEMS}")
-    for key, least in LEAST.items():
-        _whole(tree, f"settings.{key}", max(least, 1), least)
+    for key, minimum in MINIMUMS.items():
+        _integer_at(tree, f"settings.{key}", max(minimum, 1), minimum)
 
 
-def _positive(value: Any, key: str, least: float) -> None:
+def _check_positive(value: Any, key: str, minimum: float) -> None:
     number = isinstance(value, (int, float)) and not isinstance(value, bool)
-    if not number or not least <= value < FAR or value <= 0:
+    if not number or not minimum <= value < NUMBER_LIMIT or value <= 0:
         raise ConfigError(f"{key}: must be a number above 0: {str(value)[:60]!r}")
 
 
-def load_config(environ: Mapping[str, str], own: str | None = None) -> ProxyConfig:
-    """Reads EDGE_CONFIG; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY serve where the file leaves them out. The operator's
-    file is `own`, else what SLATEHUB_OPERATOR names, if anything."""
+def load_config(environ: Mapping[str, str], operator_path: str | None = None) -> ProxyConfig:
+    """Reads EDGE_CONFIG; EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_MGMT replace keys that the file leaves out.
+    The operator's file is `operator_path`, else the one that SLATEHUB_OPERATOR names, if any. Raises ConfigError."""
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG: not set")
     try:
-        plant = _plant(_tree(path), environ)
+        config = _build_config(_read_json(path), environ)
     except ConfigError as problem:
         raise ConfigError(f"EDGE_CONFIG {path}: {problem}") from None
     except RecursionError:
         raise ConfigError(f"EDGE_CONFIG {path}: cannot be read as JSON: nested too deeply") from None
-    return replace(plant, operator=operator.read_operator_file(own or environ.get("SLATEHUB_OPERATOR", "")))
+    return replace(
+        config, operator=operator.read_operator_file(operator_path or environ.get("SLATEHUB_OPERATOR", ""))
+    )
 
 
-def _tree(path: str) -> dict[str, Any]:
+def _read_json(path: str) -> dict[str, Any]:
     try:
-        tree = json.loads(whole(path, LARGEST).decode(), parse_constant=_no_number)
+        tree = json.loads(read_limited(path, MAX_FILE_BYTES).decode(), parse_constant=_reject_constant)
     except (OSError, ValueError) as problem:  # ValueError: also JSON and UTF-8 errors
         reason = problem.strerror if isinstance(problem, OSError) else problem
         raise ConfigError(f"cannot be read as JSON: {reason}") from None
@@ -239,44 +242,44 @@
     return tree
 
 
-def _plant(tree: dict[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
+def _build_config(tree: dict[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
     keys = keys_of(tree)
     for key in ("name", "listen", "discovery", "mgmt"):
         tree.setdefault(key, environ.get("EDGE_" + key.upper()))
-    seed = _item(tree, "seed", (str, int))
+    seed = _value_at(tree, "seed", (str, int))
     try:
         seed = int(seed, 16) if isinstance(seed, str) else seed
     except ValueError:
         raise ConfigError(f"seed: not a hexadecimal number: {seed[:60]!r}") from None
-    raw = _item(tree, "settings", dict)
-    _terms(tree)
+    raw = _value_at(tree, "settings", dict)
+    _check_module_settings(tree)
     try:
         settings = parse_settings("\n".join(flatten(raw)))
     except WireError as problem:
         raise ConfigError(f"settings: {problem}") from None
     if not settings.classes:
-        raise ConfigError("settings.services: names no class")
-    name = _item(tree, "name", str)
-    if not name.isprintable() or not 0 < len(name) <= LONGEST_NAME:
-        raise ConfigError(f"name: must be a text of 1 to {LONGEST_NAME} characters that print")
-    classes, accounts = _numbered(tree, "settings.services"), _numbered(tree, "settings.tenants")
+        raise ConfigError("settings.services: defines no class")
+    name = _value_at(tree, "name", str)
+    if not name.isprintable() or not 0 < len(name) <= MAX_NAME_CHARS:
+        raise ConfigError(f"name: must be 1 to {MAX_NAME_CHARS} printable characters")
+    classes, accounts = _index_by_name(tree, "settings.services"), _index_by_name(tree, "settings.tenants")
     return ProxyConfig(
         name=name,
-        listen=parse_address(_item(tree, "listen", str), "listen"),
-        discovery=parse_address(_item(tree, "discovery", str), "discovery"),
+        listen=parse_address(_value_at(tree, "listen", str), "listen"),
+        discovery=parse_address(_value_at(tree, "discovery", str), "discovery"),
         seed=seed,
-        sockets=_whole(tree, "limits.sockets", 1024, 64),
-        memory_mb=_whole(tree, "limits.memory_mb", 192, 1),
-        known=_item(tree, "known", dict, {}),
+        sockets=_integer_at(tree, "limits.sockets", 1024, 64),
+        memory_mb=_integer_at(tree, "limits.memory_mb", 192, 1),
+        known=_value_at(tree, "known", dict, {}),
         settings=settings,
         classes=classes,
         accounts=accounts,
         all_classes=classes,
         all_accounts=accounts,
         keys=keys,
-        kinds=_numbered(tree, "settings.kinds"),
-        zones=_numbered(tree, "settings.zones"),
-        max_open=_whole(tree, "settings.allowed.max_open", 32768, 1),
-        conn_idle_us=_whole(tree, "settings.allowed.conn_idle_us", 30_000_000, 1),
-        mgmt=parse_address(_item(tree, "mgmt", str), "mgmt") if tree["mgmt"] is not None else None,
+        kinds=_index_by_name(tree, "settings.kinds"),
+        zones=_index_by_name(tree, "settings.zones"),
+        max_open=_integer_at(tree, "settings.allowed.max_open", 32768, 1),
+        conn_idle_us=_integer_at(tree, "settings.allowed.conn_idle_us", 30_000_000, 1),
+        mgmt=parse_address(_value_at(tree, "mgmt", str), "mgmt") if tree["mgmt"] is not None else None,
     )
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -249,7 +249,7 @@
     "recorder.keep": "[recorder]\nkeep = 0",
     "cannot be read as TOML": "[log",
     "cannot be read as TOML:": "a = " + "[" * 100_000,
-    "larger than": "#" * (operator.LARGEST + 1),
+    "larger than": "#" * (operator.MAX_FILE_BYTES + 1),
 }
 
 
