--- a/slatehub/observe/__init__.py
+++ b/slatehub/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What can be seen of a proxy at work: its log. Nothing here may hold up or change what it watches."""
+"""Observation of a running proxy: its log and its flight recorder. Neither blocks or changes the proxy's work."""
--- a/slatehub/settings/key_file.py
+++ b/slatehub/settings/key_file.py
@@ -1,6 +1,6 @@
-"""The key file of a fleet. Each line holds one key: an id and 64 hexadecimal digits. The first key signs; all are valid.
-To rotate, a new key is added below, then moved to the top, then the old one is removed; the proxies need not do so at
-the same time. This module defines and checks the format. It never prints a key."""
+"""The key file of a fleet. Each line holds one key: an id and 64 hexadecimal digits. The first key signs, and all
+are valid. To rotate, a new key is added below, then moved to the top, then the old one is removed; the proxies need
+not do so at the same time. This module defines and checks the format. It never prints a key."""
 
 from __future__ import annotations
 
--- a/slatehub/settings/reader.py
+++ b/slatehub/settings/reader.py
@@ -126,7 +126,7 @@
 
 
 def keys_of(tree: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys; for a list of objects, the keys that all of them have, as path[].key. None below `known`."""
+    """The paths of all keys; for a list of objects, the keys that all of them have, as path[].key. Skips `known`."""
     if isinstance(tree, dict) and path != "known":
         prefix = path + "." if path else ""
         below = [keys_of(item, f"{prefix}{key}") | {f"{prefix}{key}"} for key, item in tree.items()]
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -261,7 +261,7 @@
     day.recorder.finish(True)
     assert [line.split(":")[0] for line in said] == [
         "info a recording has been written", "error cannot write a recording",
-        "warning still at the last file", "error cannot write a recording", "error cannot write a recording",
+        "warning still writing the last file", "error cannot write a recording", "error cannot write a recording",
     ]  # fmt: skip
     day.work(10)
     assert day.recorder.ring
