--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Tests that fail for a real fault which could not be mended yet: KNOWN-RED.txt at the root names them, one a line:
-`test | cause | issue`. Only these may fail; they are printed. What is wrong with the list fails the run: a fourth line,
-a line without its three parts, one that names no test, a test that passes."""
+"""Tests that fail because of a known fault that is not fixed yet. KNOWN-RED.txt at the root lists them, one a line:
+`test | cause | issue`. Only these may fail, and they are printed. An invalid list fails the run: a fourth line, a line
+without its three parts, a line that names no test, or a listed test that passes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 import pytest
 
-MOST = 3
+MAX_ENTRIES = 3
 LIST = Path(__file__).parents[1] / "KNOWN-RED.txt"
 
 
 def read(path: Path) -> dict[str, tuple[str, str]]:
-    """Cause and issue by test. pytest.UsageError where the list is not in order."""
+    """Cause and issue by test. Raises pytest.UsageError where the list is invalid."""
     found: dict[str, tuple[str, str]] = {}
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     for line in filter(str.strip, lines):
@@ -24,14 +24,14 @@
                 f"{path.name}: each line is `test | cause | issue`, each test once: {line!r}"
             )
         found[test] = (rest[0], rest[1])
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{path.name}: {len(found)} lines, {MOST} at the most")
+    if len(found) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{path.name}: {len(found)} lines, {MAX_ENTRIES} at the most")
     return found
 
 
 def mark(items: list[pytest.Item], listed: dict[str, tuple[str, str]]) -> None:
-    """The listed tests are expected to fail, and not to pass. pytest.UsageError where one that should be among the
-    collected is not: its file has been collected, or does not exist."""
+    """Marks the listed tests as strictly expected to fail. Raises pytest.UsageError where a listed test does not exist:
+    its file was collected without it, or there is no such file."""
     names = {item.nodeid: item for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
     for test, (cause, issue) in listed.items():
@@ -42,5 +42,6 @@
 
 
 def tell(reporter: Any, listed: dict[str, tuple[str, str]]) -> None:
+    """Prints the listed tests with cause and issue."""
     for test, (cause, issue) in listed.items():
         reporter.write_line(f"known red: {test}: {cause} ({issue})")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports run one way. The contracts stand in pyproject.toml; here they are checked, and shown to bite."""
+"""Checks the import contracts of pyproject.toml, and that a forbidden import is detected."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 @pytest.mark.parametrize(
     ("file", "line"),
     [
-        ("core/stages.py", "from slatehub.drivers import clock"),  # back up
+        ("core/stages.py", "from slatehub.drivers import clock"),  # upwards
         ("core/dispatcher.py", "import time"),
         ("decisions/resource_budget.py", "from gevent import socket"),
-        ("fronts/validation.py", "from slatehub.nodes import outcomes"),  # a sibling
+        ("fronts/validation.py", "from slatehub.nodes import outcomes"),  # a sibling package
         ("nodes/outcomes.py", "import slatelab"),
     ],
 )
-def test_an_import_that_must_not_be_is_named(tmp_path: Path, file: str, line: str) -> None:
+def test_a_forbidden_import_is_reported(tmp_path: Path, file: str, line: str) -> None:
     for package in ("paddlestep", "slatehub", "slatelab"):
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: only these may, and a list that is out of order fails the run."""
+"""The list of tests that may fail: no other test may, and an invalid list fails the run."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import pytest
 
 HERE = Path(__file__).parent
-GOOD = "tests/test_x.py::test_bad | the moon is late | 29"
+VALID_LINE = "tests/test_x.py::test_bad | upstream fault | 29"
 
 
-def played(tmp: Path, listed: str, *more: str) -> subprocess.CompletedProcess[str]:
-    """pytest, in a folder with three tests, of which two fail, and this list."""
+def run_pytest(tmp: Path, listed: str, *more: str) -> subprocess.CompletedProcess[str]:
+    """Runs pytest with this list in a folder of four tests, of which one always fails, and one fails without OTHER."""
     tests = tmp / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py"):
@@ -41,26 +41,24 @@
 
 
 def test_a_listed_test_may_fail_and_is_printed(tmp_path: Path) -> None:
-    done = played(tmp_path, GOOD + "\n")
-    assert (
-        done.returncode == 0 and "known red: tests/test_x.py::test_bad: the moon is late (29)" in done.stdout
-    )
+    done = run_pytest(tmp_path, VALID_LINE + "\n")
+    assert done.returncode == 0 and "known red: tests/test_x.py::test_bad: upstream fault (29)" in done.stdout
 
 
 @pytest.mark.parametrize("listed", [
     "",
-    "tests/test_x.py::test_bad | other fails | 29\n",  # beside it a test that is not listed fails
-    f"{GOOD}\ntests/test_x.py::test_good | it passes | 29",
-    f"{GOOD}\ntests/test_x.py::test_none | names no test | 29",
-    f"{GOOD}\ntests/test_z.py::test_none | names no file | 29",
+    "tests/test_x.py::test_bad | other fails | 29\n",  # a test that is not listed fails, too
+    f"{VALID_LINE}\ntests/test_x.py::test_good | it passes | 29",
+    f"{VALID_LINE}\ntests/test_x.py::test_none | names no test | 29",
+    f"{VALID_LINE}\ntests/test_z.py::test_none | names no file | 29",
     "\n".join(f"tests/test_x.py::test_{n} | cause | 29" for n in "abcd"),
     "tests/test_x.py::test_bad | no issue",
     "tests/test_x.py::test_bad |  | 29",
-    f"{GOOD}\n{GOOD}",
+    f"{VALID_LINE}\n{VALID_LINE}",
 ])  # fmt: skip
-def test_anything_else_fails_the_run(tmp_path: Path, listed: str) -> None:
-    assert played(tmp_path, listed).returncode not in (0, 5)
+def test_an_invalid_list_or_an_unlisted_failure_fails_the_run(tmp_path: Path, listed: str) -> None:
+    assert run_pytest(tmp_path, listed).returncode not in (0, 5)
 
 
-def test_a_part_of_the_suite_may_be_played_without_the_listed_test(tmp_path: Path) -> None:
-    assert played(tmp_path, GOOD, "tests/test_y.py").returncode == 0
+def test_a_part_of_the_suite_may_run_without_the_listed_test(tmp_path: Path) -> None:
+    assert run_pytest(tmp_path, VALID_LINE, "tests/test_y.py").returncode == 0
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log's lines, its way out, and the operator's own file that sets both."""
+"""The lines of the log, the writer that outputs them, and the operator's file that configures both."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from slatehub.settings import operator
 from slatehub.settings.errors import ConfigError
 
-NASTY = [
+UNUSUAL_STRINGS = [
     "\n",
     "\r\n",
     "\x00",
@@ -44,69 +44,73 @@
     "😀",
     "x" * 900,
 ]
-OWN = ["time", "msg", "proxy", "topic", "tier"]
-TEXT = st.lists(st.one_of(st.text(max_size=30), st.sampled_from(NASTY)), max_size=8).map("".join)
+RESERVED_FIELDS = ["time", "msg", "proxy", "topic", "tier"]
+TEXT = st.lists(st.one_of(st.text(max_size=30), st.sampled_from(UNUSUAL_STRINGS)), max_size=8).map("".join)
 VALUE = st.one_of(TEXT, st.integers(), st.floats(), st.booleans(), st.binary(max_size=9))
-KEYS = TEXT.filter(lambda key: key != "level") | st.sampled_from(OWN)
+KEYS = TEXT.filter(lambda key: key != "level") | st.sampled_from(RESERVED_FIELDS)
 
 
-class Read(NamedTuple):
+class ParsedLine(NamedTuple):
     level: str
     topic: str
     text: str
     fields: dict[str, str]
 
 
-def strictly(word: str) -> None:
-    raise ValueError(f"{word} is no JSON")
+def reject_constant(word: str) -> None:
+    raise ValueError(f"{word} is not valid JSON")
 
 
-def parse(line: str) -> Read:
-    """As a reader of logfmt or JSON takes a line."""
+def parse(line: str) -> ParsedLine:
+    """Parses a line as a logfmt or JSON parser does, and checks that it is well-formed."""
     if line.startswith("{"):
-        found = {key: str(value) for key, value in json.loads(line, parse_constant=strictly).items()}
+        found = {key: str(value) for key, value in json.loads(line, parse_constant=reject_constant).items()}
     else:
         pairs = re.findall(r'(?:^| )([A-Za-z_][\w.-]*)=("(?:[^"\\]|\\.)*"|[^ "]*)', line)
         assert " ".join(f"{key}={value}" for key, value in pairs) == line and len(dict(pairs)) == len(pairs)
         found = {k: re.sub(r"\\(.)", r"\1", v[1:-1]) if v.startswith('"') else v for k, v in pairs}
-    return Read(found.pop("level"), found.pop("topic"), found.pop("msg"), found)
+    return ParsedLine(found.pop("level"), found.pop("topic"), found.pop("msg"), found)
 
 
-def printed(say: Callable[[EventLog], None], **terms: Any) -> list[str]:
+def log_lines(write: Callable[[EventLog], None], **terms: Any) -> list[str]:
     out: list[bytes] = []
     log = EventLog(lambda line: not out.append(line), lambda: 0.0, lambda: 1_700_000_000_123_456_789)
     log.configure(proxy="p-0", tier=1, **terms)
-    say(log)
+    write(log)
     return [line.decode() for line in out]
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
 @hypo(derandomize=True, database=None, deadline=None, max_examples=300)
 @given(topic=TEXT, text=TEXT, fields=st.dictionaries(KEYS, VALUE, max_size=20), longest=st.integers(40, 2000))
-def test_whatever_is_told_comes_out_as_one_bounded_line(
+def test_any_event_is_written_as_one_bounded_line(
     form: str, topic: str, text: str, fields: dict[str, Any], longest: int
 ) -> None:
-    (line,) = printed(
+    (line,) = log_lines(
         lambda log: log.log_event(topic, text, level="warning", **fields), format=form, longest=longest
     )
     assert len(line.encode()) <= MAX_LINE_BYTES and line.endswith("\n") and line[:-1].isprintable()
-    back = parse(line[:-1])
-    assert (back.level, back.fields["proxy"], back.fields["tier"]) == ("warning", "p-0", "1")
-    assert back.topic == sanitize(topic, 40) and len(back.text) <= longest
-    whole = sanitize(text, longest)
-    assert back.text == whole or (len(line.encode()) > MAX_LINE_BYTES // 2 and whole.startswith(back.text))
+    parsed = parse(line[:-1])
+    assert (parsed.level, parsed.fields["proxy"], parsed.fields["tier"]) == ("warning", "p-0", "1")
+    assert parsed.topic == sanitize(topic, 40) and len(parsed.text) <= longest
+    expected = sanitize(text, longest)
+    assert parsed.text == expected or (
+        len(line.encode()) > MAX_LINE_BYTES // 2 and expected.startswith(parsed.text)
+    )
     for key, value in fields.items():
         if (
             re.fullmatch("[A-Za-z_][A-Za-z0-9_]{,39}", key)
-            and key not in OWN
+            and key not in RESERVED_FIELDS
             and isinstance(value, str)
             and value
         ):
-            assert back.fields.get(key, sanitize(value, MAX_VALUE_CHARS)) == sanitize(value, MAX_VALUE_CHARS)
+            assert parsed.fields.get(key, sanitize(value, MAX_VALUE_CHARS)) == sanitize(
+                value, MAX_VALUE_CHARS
+            )
 
 
 def test_a_line_has_its_time_and_only_the_fields_that_are_there() -> None:
-    (line,) = printed(
+    (line,) = log_lines(
         lambda log: log.log_event("nodes", "it broke", "error", node="s-1", request=None, where="")
     )
     assert line == (
@@ -114,70 +118,70 @@
     )
 
 
-def test_a_topic_has_its_share_and_says_how_many_lines_were_held_back() -> None:
+def test_a_topic_is_rate_limited_and_reports_suppressed_lines() -> None:
     out: list[bytes] = []
-    now, takes = [0.0], [True]
-    log = EventLog(lambda line: takes[0] and not out.append(line), lambda: now[0])
+    now, accepts = [0.0], [True]
+    log = EventLog(lambda line: accepts[0] and not out.append(line), lambda: now[0])
     log.configure(per_topic_per_s=2.0, burst=3.0, level="info", format="json")
     for i in range(10):
         log.log_event("a", str(i))
         log.log_event("a", "below", "debug")
     log.log_event("b", "another topic is not held back")
     now[0] = 0.5
-    takes[0] = False
+    accepts[0] = False
     log.log_event("a", "the reader has gone")
-    takes[0] = True
+    accepts[0] = True
     now[0] = 1.0
     log.log_event("a", "here again")
     now[0] = 1.5
     log.log_event("a", "and again")
-    told = [json.loads(line) for line in out]
-    assert [line["msg"] for line in told[2:]] == [
+    records = [json.loads(line) for line in out]
+    assert [line["msg"] for line in records[2:]] == [
         "2",
         "another topic is not held back",
         "here again",
         "and again",
     ]
-    assert [(line.get("suppressed", 0), line.get("lost", 0)) for line in told[-2:]] == [(7, 1), (0, 0)]
+    assert [(line.get("suppressed", 0), line.get("lost", 0)) for line in records[-2:]] == [(7, 1), (0, 0)]
     for i in range(2 * MAX_TOPICS):
         log.log_event(f"topic {i}", "x")
     assert len(log.topic_limits) <= MAX_TOPICS + 1
 
 
-def test_a_full_pipe_or_socket_takes_whole_lines_only_and_nobody_waits() -> None:
+def test_a_full_pipe_or_socket_accepts_whole_lines_only_and_never_blocks() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
-        far = socket.create_connection(server.getsockname())
-        near = server.accept()[0]
-    for reader, writer in (socket.socketpair(), (near, far), os.pipe()):
+        client = socket.create_connection(server.getsockname())
+        accepted = server.accept()[0]
+    for reader, writer in (socket.socketpair(), (accepted, client), os.pipe()):
         fds = [end if isinstance(end, int) else end.detach() for end in (reader, writer)]
-        outlet, last = NonBlockingWriter(fds[1]), b"last" + b"x" * 3000 + b"\n"
-        # A connection makes room by itself for a while after it was full, as the other side takes its share.
+        log_writer, last = NonBlockingWriter(fds[1]), b"last" + b"x" * 3000 + b"\n"
+        # A full connection still gains room for a while, as data moves on to the receiver's buffer.
         lines, taken, refused = (b"%06d" % i + b"x" * 3000 + b"\n" for i in count()), [], 0
         while refused < 50:
-            if outlet(line := next(lines)):
+            if log_writer(line := next(lines)):
                 taken.append(line)
                 refused = 0
             else:
                 refused += 1
                 time.sleep(0.002)
         with pytest.raises(BlockingIOError):
-            _write_if_ready(fds[1], b"x")  # as where it cannot be opened anew
-        assert taken and os.get_blocking(fds[1])  # others who write there may still want to wait
+            _write_if_ready(fds[1], b"x")  # the fallback where the descriptor cannot be reopened
+        assert taken and os.get_blocking(fds[1])  # the mode for other writers of the descriptor is unchanged
         read = b""
         while not read.endswith(last):
             read += os.read(fds[0], 1 << 20)
-            outlet(last)
+            log_writer(last)
         assert [
             line for line in read.splitlines(True) if line != last
-        ] == taken  # whole, all, and in their order
+        ] == taken  # whole, complete and in order
         os.close(fds[0])
-        assert not outlet(last) and not NonBlockingWriter(-1)(last)
+        assert not log_writer(last) and not NonBlockingWriter(-1)(last)
         os.close(fds[1])
 
 
 @contextmanager
-def unheard(tmp: Path, code: str = "", **popen: Any) -> Iterator[ProxyRig]:
-    """A proxy with a standard error of the test's own; it must end well."""
+def running_proxy_with_stderr(tmp: Path, code: str = "", **popen: Any) -> Iterator[ProxyRig]:
+    """A proxy whose standard error the test provides; it must exit with status 0."""
     with socket.create_server(("127.0.0.1", 0)) as spare:
         listen = f"127.0.0.1:{spare.getsockname()[1]}"
     with running_proxy(tmp, listen=listen, code=code, popen=popen) as p:
@@ -187,39 +191,39 @@
         assert p.program.process.wait(20) == 0
 
 
-def served(p: ProxyRig) -> bool:
+def serves_request(p: ProxyRig) -> bool:
     return p.program.request(build_request("ok"))[0] == 200
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up_and_says_what_was_lost(tmp_path: Path) -> None:
+def test_an_unread_log_does_not_block_and_reports_lost_lines(tmp_path: Path) -> None:
     reader, writer = os.pipe()
     size = fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     os.write(writer, b"x" * (size - 1) + b"\n")
-    with unheard(tmp_path, stderr=writer) as p:
-        p.program.process.send_signal(signal.SIGHUP)  # has something to say
-        assert served(p) and served(p)
-        assert len(os.read(reader, size)) == size  # nothing else has got in
+    with running_proxy_with_stderr(tmp_path, stderr=writer) as p:
+        p.program.process.send_signal(signal.SIGHUP)  # causes a log line
+        assert serves_request(p) and serves_request(p)
+        assert len(os.read(reader, size)) == size  # no part of a log line was written
         p.program.process.send_signal(signal.SIGHUP)
         line = parse(os.read(reader, size).decode().splitlines()[0])
         assert line.topic == "settings" and int(line.fields["lost"]) == 2
         os.close(reader)
-        assert served(p)
+        assert serves_request(p)
     os.close(writer)
 
 
-def test_a_standard_error_closed_from_the_start_is_never_taken_for_what_has_its_number(
+def test_a_file_with_the_number_of_a_closed_standard_error_is_not_written_to(
     tmp_path: Path,
 ) -> None:
     file = tmp_path / "something else"
     code = f"import os; os.stat({str(file)!r}) and 0; assert os.open({str(file)!r}, os.O_WRONLY) == 2"
     file.touch()
-    with unheard(tmp_path, code, preexec_fn=lambda: os.close(2)) as p:
+    with running_proxy_with_stderr(tmp_path, code, preexec_fn=lambda: os.close(2)) as p:
         p.program.process.send_signal(signal.SIGHUP)
-        assert served(p) and served(p)
+        assert serves_request(p) and serves_request(p)
     assert not file.read_bytes()
 
 
-def test_what_nobody_caught_is_a_line_and_no_traceback(tmp_path: Path) -> None:
+def test_an_uncaught_exception_is_logged_without_a_traceback(tmp_path: Path) -> None:
     code = "import gevent; gevent.spawn_later(0.1, lambda: 1 / 0)"
     with running_proxy(tmp_path, code=code, faults=True) as p:
         wait_until(lambda: any("ZeroDivisionError" in line for line in list(p.program.log)))
@@ -228,9 +232,9 @@
         assert not any("Traceback" in line for line in p.program.log)
 
 
-# ---------------------------------------------------------------- the operator's own file
+# ---------------------------------------------------------------- the operator's file
 
-WRONG = {
+INVALID_FILES = {
     "log.format": '[log]\nformat = "xml"',
     "log.level": '[log]\nlevel = "Info"',
     "log.per_topic_per_s": "[log]\nper_topic_per_s = 0",
@@ -253,10 +257,10 @@
 }
 
 
-@pytest.mark.parametrize("key", WRONG)
+@pytest.mark.parametrize("key", INVALID_FILES)
 def test_a_fault_in_the_operators_file_names_file_and_key(tmp_path: Path, key: str) -> None:
     path = tmp_path / "own.toml"
-    path.write_text(WRONG[key])
+    path.write_text(INVALID_FILES[key])
     with pytest.raises(ConfigError) as found:
         operator.read_operator_file(str(path))
     assert (
@@ -274,7 +278,7 @@
 
 @pytest.mark.parametrize("command", ["serve", "check-config"])
 @pytest.mark.parametrize("by", ["option", "environment"])
-def test_it_ends_the_program_with_2_whichever_way_it_is_named(tmp_path: Path, command: str, by: str) -> None:
+def test_an_invalid_operators_file_ends_the_program_with_2(tmp_path: Path, command: str, by: str) -> None:
     tree = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -285,7 +289,7 @@
     (tmp_path / "config.json").write_text(json.dumps(tree))
     (tmp_path / "own.toml").write_text("[log]\nburst = 0")
     name, env = str(tmp_path / "own.toml"), {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json")}
-    words = [
+    argv = [
         sys.executable,
         "-B",
         "-m",
@@ -294,7 +298,7 @@
         *(["--operator", name] if by == "option" else []),
     ]
     env |= {"SLATEHUB_OPERATOR": name} if by == "environment" else {}
-    done = subprocess.run(words, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
+    done = subprocess.run(argv, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert (
         done.returncode == 2
         and f"{name}: log.burst: must be" in done.stderr
@@ -302,30 +306,33 @@
     )
 
 
-def _listed(value: object) -> object:
+def _as_list(value: object) -> object:
     return list(value) if isinstance(value, tuple) else value
 
 
-def test_the_example_holds_every_key_and_its_usual_value(tmp_path: Path) -> None:
+def test_the_example_file_holds_every_key_and_its_default(tmp_path: Path) -> None:
     import tomllib
 
     lines = (ROOT / "deploy" / "slatehub.example.toml").read_text().splitlines()
     tree = tomllib.loads("\n".join(line.removeprefix("#") if " = " in line else line for line in lines))
-    usual = operator.OperatorConfig()
+    defaults = operator.OperatorConfig()
     assert tree == {
-        "log": {name: getattr(usual.log, name) for name in usual.log.__slots__},
-        "recorder": {name: getattr(usual.recorder, name) for name in usual.recorder.__slots__},
-        "storms": {name: getattr(usual.storms, name) for name in usual.storms.__slots__},
+        "log": {name: getattr(defaults.log, name) for name in defaults.log.__slots__},
+        "recorder": {name: getattr(defaults.recorder, name) for name in defaults.recorder.__slots__},
+        "storms": {name: getattr(defaults.storms, name) for name in defaults.storms.__slots__},
         "fleet": tree["fleet"],
-        "copies": {name: _listed(getattr(usual.copies, name)) for name in usual.copies.__slots__},
-        "ledger": {name: _listed(getattr(usual.ledger, name)) for name in usual.ledger.__slots__},
+        "copies": {name: _as_list(getattr(defaults.copies, name)) for name in defaults.copies.__slots__},
+        "ledger": {name: _as_list(getattr(defaults.ledger, name)) for name in defaults.ledger.__slots__},
     }
-    assert operator.read_operator_file(str(ROOT / "deploy" / "slatehub.example.toml")).fleet == usual.fleet
+    assert operator.read_operator_file(str(ROOT / "deploy" / "slatehub.example.toml")).fleet == defaults.fleet
     shown = {key: value for key, value in tree["fleet"].items() if value not in ("", [])}
-    assert set(tree["fleet"]) == set(usual.fleet.__slots__) and shown == {"share": True, "maintenance": "own"}
+    assert set(tree["fleet"]) == set(defaults.fleet.__slots__) and shown == {
+        "share": True,
+        "maintenance": "own",
+    }
 
 
-def test_nothing_is_loaded_that_is_not_wanted(tmp_path: Path) -> None:
+def test_modules_of_disabled_features_are_not_loaded(tmp_path: Path) -> None:
     code = "import atexit, sys; atexit.register(lambda: print(*sys.modules, file=sys.stderr))"
     with running_proxy(tmp_path, code=code) as p:
         p.program.process.send_signal(signal.SIGTERM)
@@ -333,7 +340,7 @@
         wait_until(lambda: " gevent " in p.program.log[-1])
         loaded = set(p.program.log[-1].split())
     assert "logfmter" in loaded and not loaded & {"tomllib", "msgspec", "slatehub.observe.recorder"}
-    off = (
+    disabled = (
         "fleet",
         "copies",
         "store",
@@ -344,11 +351,11 @@
         "cli.store",
         "cli.process",
     )
-    assert not [name for name in loaded if name.startswith(tuple(f"slatehub.{part}" for part in off))]
+    assert not [name for name in loaded if name.startswith(tuple(f"slatehub.{part}" for part in disabled))]
 
 
-def test_sighup_swaps_both_files_or_neither(tmp_path: Path) -> None:
-    def renew(p: ProxyRig, own: str, line: str, **change: object) -> str:
+def test_sighup_applies_both_files_or_neither(tmp_path: Path) -> None:
+    def reload(p: ProxyRig, own: str, line: str, **change: object) -> str:
         (tmp_path / "operator.toml").write_text(own)
         tree = json.loads((tmp_path / "config.json").read_text())
         (tmp_path / "config.json").write_text(json.dumps({**tree, **change}))
@@ -357,20 +364,25 @@
         wait_until(lambda: any(line in x for x in p.program.log[before:]))
         return next(x for x in p.program.log[before:] if line in x)
 
-    (tmp_path / "msgspec.py").write_text("raise OSError('torn')")  # there, but not to be loaded
+    (tmp_path / "msgspec.py").write_text("raise OSError('torn')")  # exists, but fails to import
     with running_proxy(
         tmp_path, own="[log]\nburst = 100", code=f"import sys; sys.path.insert(0, {str(tmp_path)!r})"
     ) as p:
         tree = json.loads((tmp_path / "config.json").read_text())
-        said = renew(p, "[log]\nburst = 100\nformat = 'JSON'", "old ones stay in force")
-        assert said.startswith("time=") and "operator.toml: log.format: must be one of logfmt, json" in said
-        torn = f"[recorder]\nbatches = 9\nfolder = '{tmp_path}'\n[log]\nformat = 'json'"
-        assert renew(p, torn, "stay in force: recorder.batches: cannot record: OSError: torn").startswith(
+        logged = reload(p, "[log]\nburst = 100\nformat = 'JSON'", "old ones stay in force")
+        assert (
+            logged.startswith("time=") and "operator.toml: log.format: must be one of logfmt, json" in logged
+        )
+        broken = f"[recorder]\nbatches = 9\nfolder = '{tmp_path}'\n[log]\nformat = 'json'"
+        assert reload(p, broken, "stay in force: recorder.batches: cannot record: OSError: torn").startswith(
             "time="
         )
-        asleep = {"members": [{"id": "s-1", "phase": "ASLEEP"}]}
-        good = "[log]\nburst = 100\nformat = 'json'"
-        assert renew(p, good, "old ones stay in force: EDGE_CONFIG: known", known=asleep).startswith("time=")
+        invalid_members = {"members": [{"id": "s-1", "phase": "ASLEEP"}]}
+        valid = "[log]\nburst = 100\nformat = 'json'"
+        assert reload(
+            p, valid, "old ones stay in force: EDGE_CONFIG: known", known=invalid_members
+        ).startswith("time=")
         assert (
-            json.loads(renew(p, good, "read again and in force", known=tree["known"]))["topic"] == "settings"
+            json.loads(reload(p, valid, "read again and in force", known=tree["known"]))["topic"]
+            == "settings"
         )
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""The flight recorder: its ring, its files, and what the lab makes of them."""
+"""The flight recorder: its ring, its files, and their replay in the lab."""
 
 from __future__ import annotations
 
@@ -33,19 +33,21 @@
     ServiceClass("look", Effect.SAFE, aim_us=300_000, deadline_us=900_000),
     ServiceClass("buy", aim_us=300_000),
 )
-TERMS = Settings(KINDS, siblings=3, tick_us=5_000, may_cancel=True, cold_from=0.3, warm_after_us=10_000_000)
-ENDS = [Status.OK, Status.OK, Status.OK, Status.FULL, Status.ERROR, Status.RESET, Status.TIMEOUT]
+SETTINGS = Settings(
+    KINDS, siblings=3, tick_us=5_000, may_cancel=True, cold_from=0.3, warm_after_us=10_000_000
+)
+STATUSES = [Status.OK, Status.OK, Status.OK, Status.FULL, Status.ERROR, Status.RESET, Status.TIMEOUT]
 
 
-class Nobody:
+class IgnoringFront:
     def answer(self, job: Job, answer: Answer) -> None: ...
 
 
-class Day:
-    """A desk at work with a recorder, without a clock or a socket."""
+class RecordedRun:
+    """A dispatcher under load with a recorder, without a clock or a socket."""
 
     def __init__(self, folder: Path, batches: int, nodes: int = 5, keep: int = 8) -> None:
-        self.desk = Dispatcher(TERMS, 7, 1000)
+        self.desk = Dispatcher(SETTINGS, 7, 1000)
         self.now, self.serial, self.out = 10_000_000, 0, list[Attempt]()
         names = {n + 1: f"s-{n}" for n in range(nodes)}
         self.recorder = self.desk.recorder = FlightRecorder(
@@ -57,20 +59,22 @@
         )
 
     def work(self, batches: int) -> None:
-        """Arrivals faster than they end, so that some wait and some are refused; all kinds of ends."""
+        """Jobs arrive faster than attempts end, so that some wait and some are refused. Attempts end in all ways."""
         for _ in range(batches):
             self.now += 3_000
             self.serial += 1
-            job = Job(f"r{self.serial}", self.serial % 2, 0, self.now + 400_000, None, Nobody())
+            job = Job(f"r{self.serial}", self.serial % 2, 0, self.now + 400_000, None, IgnoringFront())
             self.desk.submit(self.now, job)
             if self.serial % 3 and self.out:
-                self.desk.attempt_ended(self.now, self.out.pop(0), ENDS[self.serial % len(ENDS)], (1.5,))
+                self.desk.attempt_ended(
+                    self.now, self.out.pop(0), STATUSES[self.serial % len(STATUSES)], (1.5,)
+                )
             if self.serial % 50 == 0:
-                self.desk.apply_settings(TERMS, 1000)
+                self.desk.apply_settings(SETTINGS, 1000)
             self.desk.run_due_timers(self.now)
-            self.turn()
+            self.process_batch()
 
-    def turn(self) -> None:
+    def process_batch(self) -> None:
         self.desk.process_batch(self.now)
         self.out += [act.attempt for act in self.desk.take_commands() if isinstance(act, StartAttempt)]
 
@@ -88,8 +92,8 @@
 
 
 @pytest.mark.parametrize("batches", [1, 7, 200, 100_000])
-def test_a_ring_of_any_size_replays_from_whichever_generation_it_begins(tmp_path: Path, batches: int) -> None:
-    day = Day(tmp_path, batches)
+def test_a_ring_of_any_size_replays_from_its_oldest_generation(tmp_path: Path, batches: int) -> None:
+    day = RecordedRun(tmp_path, batches)
     for part in range(12):
         day.work(1 + 29 * part)
         read = flight.read(day.file())
@@ -97,12 +101,12 @@
             day.serial <= batches or 2 * len(read.batches) >= batches - 1
         )
         assert all(step.same for step in play.play(read, "paddlestep"))
-    assert len(list(tmp_path.iterdir())) == 8  # `keep`: the oldest went
+    assert len(list(tmp_path.iterdir())) == 8  # `keep`: the oldest were removed
 
 
 def test_a_ring_is_bounded_in_bytes_too(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr(recorder, "MAX_GENERATION_BYTES", 20_000)
-    day = Day(tmp_path, 100_000)
+    day = RecordedRun(tmp_path, 100_000)
     for _ in range(20):
         day.work(100)
         assert day.recorder.ring and sum(g.size_bytes for g in day.recorder.ring.generations()) < 42_000
@@ -110,23 +114,23 @@
 
 
 def test_a_request_is_explained_by_its_id(tmp_path: Path) -> None:
-    day = Day(tmp_path, 1000, nodes=3)
+    day = RecordedRun(tmp_path, 1000, nodes=3)
     day.work(400)
     path = day.file()
     done = [replay(path, "--request", f"r{n}", "--limit", "2") for n in range(1, 400, 7)]
-    assert {one.exit_code for one in done} == {0}  # looking on changes nothing in what is played
-    told = "\n".join(one.output for one in done)
+    assert {one.exit_code for one in done} == {0}  # explaining a request does not change the replay
+    output = "\n".join(one.output for one in done)
     for words in (
         "refused: ", " >= room for ", "sent: the soonest answer expected", "held: ", "served", "and 1 nodes more",
         "to be tried again: ended as", "near home", "chosen", "FULL", "s-2", "class look (safe)",
     ):  # fmt: skip
-        assert words in told, words
+        assert words in output, words
     done = replay(path, "--request", "nobody")
     assert done.exit_code == 2 and "no request nobody" in done.output and "from r1 to r400" in done.output
 
 
 def test_a_file_cut_anywhere_or_altered_is_unreadable(tmp_path: Path) -> None:
-    day = Day(tmp_path, 100)
+    day = RecordedRun(tmp_path, 100)
     day.work(10)
     data, path = day.file().read_bytes(), tmp_path / "cut.flight"
     path.write_bytes(data)
@@ -148,23 +152,23 @@
     assert replay(day.file(), "--tree", tmp_path).exit_code == 2
 
 
-class Evil:
+class HostilePickle:
     def __reduce__(self) -> Any:
-        return os.mkdir, (Evil.place,)
+        return os.mkdir, (HostilePickle.place,)
 
     place = ""
 
 
 def test_a_hostile_file_runs_nothing(tmp_path: Path) -> None:
-    Evil.place = str(tmp_path / "made")
-    day = Day(tmp_path, 100)
+    HostilePickle.place = str(tmp_path / "made")
+    day = RecordedRun(tmp_path, 100)
     day.work(3)
     read = flight.read(day.file())
     path, head = tmp_path / "evil.flight", replace(read.head, batches=0)
     states = {
-        "names posix.mkdir": pickle.dumps(Evil()),
+        "names posix.mkdir": pickle.dumps(HostilePickle()),
         "names posix.getcwd": pickle.dumps(os.getcwd),
-        "names paddlestep.balance.exp": b"cpaddlestep.balance\nexp\n.",  # which the module only uses
+        "names paddlestep.balance.exp": b"cpaddlestep.balance\nexp\n.",  # which the module only imports
         "is no Balancer": pickle.dumps([]),
         "cannot be read": b"\x80",
     }
@@ -188,8 +192,8 @@
 """
 
 
-def test_another_module_is_named_and_its_first_other_action_shown(tmp_path: Path) -> None:
-    day = Day(tmp_path, 1000)
+def test_another_module_is_reported_with_its_first_differing_action(tmp_path: Path) -> None:
+    day = RecordedRun(tmp_path, 1000)
     day.work(200)
     for name in ("same", "other", "broken"):
         shutil.copytree(ROOT / "paddlestep", tmp_path / name / "paddlestep")
@@ -206,9 +210,7 @@
     assert "differs" not in replay(path).output
 
 
-def test_a_failing_module_writes_its_last_batch_and_fails_the_same_way_again(
-    tmp_path: Path, monkeypatch: Any
-) -> None:
+def test_a_module_fault_is_recorded_and_replays_with_the_same_fault(tmp_path: Path, monkeypatch: Any) -> None:
     arrive, problem = Balancer.arrive, KeyError("sixty")
 
     def broken(self: Balancer, a: Any) -> None:
@@ -217,8 +219,8 @@
         arrive(self, a)
 
     monkeypatch.setattr(Balancer, "arrive", broken)
-    day = Day(tmp_path, 40)
-    day.work(61)  # and goes on, with a ring of its own
+    day = RecordedRun(tmp_path, 40)
+    day.work(61)  # the recorder continues with a new ring
     gevent.sleep(0)
     assert day.recorder.write_greenlet is None or day.recorder.write_greenlet.join(20) is None
     (path,) = tmp_path.glob("*-fault.flight")
@@ -234,32 +236,32 @@
     assert len(flight.read(day.file()).batches) == 1
 
 
-def test_a_full_disk_or_a_folder_that_has_gone_is_a_line_in_the_log(tmp_path: Path, monkeypatch: Any) -> None:
-    said: list[str] = []
+def test_a_full_disk_or_a_missing_folder_is_logged(tmp_path: Path, monkeypatch: Any) -> None:
+    logged: list[str] = []
     monkeypatch.setattr(
-        recorder, "log_event", lambda topic, text, level="info", **fields: said.append(f"{level} {text}")
+        recorder, "log_event", lambda topic, text, level="info", **fields: logged.append(f"{level} {text}")
     )
     folder = tmp_path / "flights"
     folder.mkdir()
     (folder / "p_0-notes.txt").write_text("not ours")
     (folder / ".p_0-20200101T000000.000000Z-stop.flight.part").write_text("")
     os.utime(folder / ".p_0-20200101T000000.000000Z-stop.flight.part", (0, 0))
-    day = Day(folder, 100, keep=1)
+    day = RecordedRun(folder, 100, keep=1)
     day.work(10)
     day.file()
     assert sorted(x.name.partition("-")[0] for x in folder.iterdir()) == [
         "p_0",
         "p_0",
-    ]  # the leftover is gone
+    ]  # the abandoned file was removed
     with monkeypatch.context() as full:
         full.setattr(
             os, "fsync", lambda fd: (_ for _ in ()).throw(OSError(errno.ENOSPC, "No space left on device"))
         )
         day.file()
     shutil.rmtree(folder)
-    assert day.recorder.write("asked") and not day.recorder.write("asked")  # one at a time
+    assert day.recorder.write("asked") and not day.recorder.write("asked")  # one write at a time
     day.recorder.finish(True)
-    assert [line.split(":")[0] for line in said] == [
+    assert [line.split(":")[0] for line in logged] == [
         "info a recording has been written", "error cannot write a recording",
         "warning still writing the last file", "error cannot write a recording", "error cannot write a recording",
     ]  # fmt: skip
@@ -288,11 +290,11 @@
         list(pool.map(ask, range(first, first + count)))
 
 
-def test_a_proxy_under_load_writes_on_sigusr2_and_at_its_end_what_replays(tmp_path: Path) -> None:
+def test_a_proxy_under_load_writes_replayable_files_on_sigusr2_and_at_its_end(tmp_path: Path) -> None:
     folder = tmp_path / "flights"
     folder.mkdir()
-    on = f"[recorder]\nbatches = 400\nfolder = '{folder}'\non_stop = true\n"
-    with running_proxy(tmp_path, nodes=3, own=on) as p, ThreadPoolExecutor(1) as pool:
+    operator_file = f"[recorder]\nbatches = 400\nfolder = '{folder}'\non_stop = true\n"
+    with running_proxy(tmp_path, nodes=3, own=operator_file) as p, ThreadPoolExecutor(1) as pool:
         load(p, 0, 150)
         busy = pool.submit(load, p, 150, 150)
         p.program.process.send_signal(signal.SIGUSR2)
@@ -309,31 +311,31 @@
     assert flight.read(stop).head.module == module_sha256()
 
 
-def test_sighup_switches_it_on_and_off_and_sigusr2_is_never_the_end(tmp_path: Path) -> None:
+def test_sighup_switches_it_on_and_off_and_sigusr2_never_ends_the_proxy(tmp_path: Path) -> None:
     folder, own = tmp_path / "flights", tmp_path / "operator.toml"
     folder.mkdir()
     with running_proxy(tmp_path, own="[log]\nburst = 100") as p:
 
-        def told(number: int, words: str) -> None:
+        def signal_and_wait(number: int, words: str) -> None:
             before = len(p.program.log)
             p.program.process.send_signal(number)
             wait_until(lambda: any(words in line for line in p.program.log[before:]))
 
-        told(signal.SIGUSR2, "is off, so there is nothing to write")
+        signal_and_wait(signal.SIGUSR2, "is off, so there is nothing to write")
         own.write_text(f"[log]\nburst = 100\n[recorder]\nbatches = 100\nfolder = '{folder}'")
-        told(signal.SIGHUP, "read again and in force")
+        signal_and_wait(signal.SIGHUP, "read again and in force")
         load(p, 0, 30)
         own.write_text("[recorder]\nbatches = 100\nfolder = '/proc'")
-        told(signal.SIGHUP, "old ones stay in force")
-        told(signal.SIGUSR2, "a recording has been written")
+        signal_and_wait(signal.SIGHUP, "old ones stay in force")
+        signal_and_wait(signal.SIGUSR2, "a recording has been written")
         own.write_text("[log]\nburst = 100")
-        told(signal.SIGHUP, "read again and in force")
-        told(signal.SIGUSR2, "is off")
+        signal_and_wait(signal.SIGHUP, "read again and in force")
+        signal_and_wait(signal.SIGUSR2, "is off")
     (path,) = files(folder, "asked")
     assert replay(path).exit_code == 0 and len(flight.read(path).batches) >= 30
 
 
-def test_a_proxy_whose_module_fails_writes_the_file_and_goes_on(tmp_path: Path) -> None:
+def test_a_proxy_whose_module_fails_writes_the_file_and_keeps_serving(tmp_path: Path) -> None:
     folder = tmp_path / "flights"
     folder.mkdir()
     code = (
--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -1,4 +1,4 @@
-"""What holds for the tests themselves: a run of them ends, whatever a test has left behind."""
+"""The test suite itself: a run ends even when a test hangs or leaves threads behind."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from test_copies import Orders
 
 HERE = Path(__file__).parent
-LEFT = """
+LEAVES_THREAD = """
 import threading, time
-def test_that_leaves_somebody_at_work():
+def test_that_leaves_a_thread():
     threading.Thread(target=lambda: time.sleep(5)).start()
 """
 HANGS = """
@@ -23,7 +23,7 @@
 """
 
 
-def played(tmp: Path, test: str, *more: str) -> subprocess.CompletedProcess[str]:
+def run_pytest(tmp: Path, test: str, *more: str) -> subprocess.CompletedProcess[str]:
     for name in ("conftest.py", "known_red.py"):
         (tmp / name).write_text((HERE / name).read_text())
     (tmp / "test_x.py").write_text(test)
@@ -42,19 +42,19 @@
     return subprocess.run(argv, cwd=tmp, capture_output=True, text=True, timeout=60)
 
 
-def test_who_leaves_somebody_at_work_fails(tmp_path: Path) -> None:
-    done = played(tmp_path, LEFT)
+def test_a_test_that_leaves_a_thread_running_fails(tmp_path: Path) -> None:
+    done = run_pytest(tmp_path, LEAVES_THREAD)
     assert done.returncode == 1 and "still at work after the test" in done.stdout
 
 
 def test_a_test_that_hangs_ends_the_run_and_shows_where(tmp_path: Path) -> None:
-    own = ["-o", "faulthandler_timeout=1", "-o", "faulthandler_exit_on_timeout=true"]
-    done = played(tmp_path, HANGS, *own)
+    timeout_options = ["-o", "faulthandler_timeout=1", "-o", "faulthandler_exit_on_timeout=true"]
+    done = run_pytest(tmp_path, HANGS, *timeout_options)
     assert done.returncode not in (0, 5) and "test_that_hangs" in done.stderr
 
 
 @pytest.mark.parametrize("kind", [LoadClients, Orders])
-def test_callers_end_with_a_test_that_fails(tmp_path: Path, kind: type[LoadClients] | type[Orders]) -> None:
+def test_load_threads_end_when_a_test_fails(tmp_path: Path, kind: type[LoadClients] | type[Orders]) -> None:
     callers = None
     with pytest.raises(ZeroDivisionError), running_fleet(tmp_path, 1) as rig:
         callers = kind(rig)
