--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -489,7 +489,7 @@
         caller.close()
         while len(http_server.connections) > 1:
             gevent.sleep(0.005)
-    rig.dispatcher._give_up(
+    rig.dispatcher._abandon(
         next(iter(rig.driver.job_table.jobs.values())), Answer(AnswerStatus.DEADLINE_EXCEEDED), clock()
     )
     rig.driver._execute_commands()
