--- a/slatehub/fleet/__init__.py
+++ b/slatehub/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Proxies that know each other: the peers' link, who is there, and what all of them carry together."""
+"""The fleet of proxies: authenticated datagrams, membership, and the aggregated load of all members."""
--- a/slatehub/fleet/member_table.py
+++ b/slatehub/fleet/member_table.py
@@ -1,5 +1,6 @@
-"""The table of members: what is held of each, which of two rows is right, and hashes by which two tables are compared.
-Pure. It must never hold more rows than its bound, and never take a row that could lock its member out for good."""
+"""The member table: the record of each member, which of two records supersedes the other, and digests by which two
+tables are compared. Does no I/O. The number of records is bounded, and a record that its member could never refute is
+rejected."""
 
 from __future__ import annotations
 
@@ -7,102 +8,115 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from .messages import ALIVE, BUCKETS, DEAD, LEFT, SUSPECT, MemberRecord
+from .messages import ALIVE, DEAD, DIGEST_BUCKETS, LEFT, SUSPECT, MemberRecord
 
-MAX_MEMBERS = 1024  # members, the lost ones included
-MAX_CLOCK_SKEW_MS = 366 * 24 * 3600 * 1000  # clocks of machines lie no further apart
+MAX_MEMBERS = 1024  # other members, lost ones included
+MAX_CLOCK_SKEW_MS = 366 * 24 * 3600 * 1000  # clocks of two nodes differ by less
 STATES = {ALIVE: "alive", SUSPECT: "suspect", DEAD: "lost", LEFT: "left"}
 
 
 @dataclass(slots=True)
 class Member:
+    """A member and what this process keeps about it."""
+
     record: MemberRecord
-    since: int  # when it came into its state here
-    heard: int = 0  # when it last spoke to us itself
+    state_since: int  # when it entered its state in this table
+    last_heard: int = 0  # when its last message arrived
     accusers: set[str] = field(default_factory=set)
-    until: int = 0  # suspected: lost from then on
-    asked: int = 0  # when it was suspected
-    mark: int = 0  # its part in the hashes
+    suspected_until: int = 0  # while suspected: lost from this time on
+    suspected_at: int = 0  # when the suspicion began
+    digest: int = 0  # of its record, as included in the table's digests
 
     @property
     def living(self) -> bool:
+        """Whether the member is alive or suspected."""
         return self.record.state <= SUSPECT
 
 
 class MemberTable:
-    """`rows` holds everybody but us."""
+    """`members` holds all members except this process, whose record is `me`."""
 
     def __init__(self, me: MemberRecord) -> None:
         self.me = me
         self.members: dict[str, Member] = {}
-        self.parts = [0] * BUCKETS
-        self.whole = 0
-        self.rejected_count = 0  # rows for which there was no room, or whose incarnation cannot be
-        self._mark = 0
-        self.renew(me)
-
-    def renew(self, me: MemberRecord) -> None:
-        """Our own row has changed."""
-        self._toggle(me.name, self._mark)
-        self.me, self._mark = me, mark(me)
-        self._toggle(me.name, self._mark)
+        self.bucket_digests = [0] * DIGEST_BUCKETS
+        self.digest = 0
+        self.rejected_count = 0  # records without room, or with an impossible incarnation
+        self._self_digest = 0
+        self.update_self(me)
+
+    def update_self(self, me: MemberRecord) -> None:
+        """Replaces this process's own record."""
+        self._toggle_digest(me.name, self._self_digest)
+        self.me, self._self_digest = me, record_digest(me)
+        self._toggle_digest(me.name, self._self_digest)
 
     def live_members(self) -> list[Member]:
+        """The members that are alive or suspected."""
         return [m for m in self.members.values() if m.living]
 
-    def newer(self, row: MemberRecord, now: int) -> bool:
-        """Whether this row counts against what is held. An incarnation far beyond every clock is refused: its member
-        could never contradict it."""
-        if row.incarnation > now // 1000 + MAX_CLOCK_SKEW_MS:
+    def supersedes(self, record: MemberRecord, now: int) -> bool:
+        """Whether the record supersedes the one held. An incarnation far ahead of every clock is rejected: its member
+        could never refute it."""
+        if record.incarnation > now // 1000 + MAX_CLOCK_SKEW_MS:
             self.rejected_count += 1
             return False
-        held = self.members.get(row.name)
-        return held is None or (row.incarnation, row.state) > (held.record.incarnation, held.record.state)
-
-    def update(self, row: MemberRecord, now: int) -> Member | None:
-        """Takes the row in; the member, or None where there is no room for a new one."""
-        member = self.members.get(row.name)
+        held = self.members.get(record.name)
+        return held is None or (record.incarnation, record.state) > (
+            held.record.incarnation,
+            held.record.state,
+        )
+
+    def update(self, record: MemberRecord, now: int) -> Member | None:
+        """Inserts or replaces the record. Returns the member, or None if there is no room for a new one."""
+        member = self.members.get(record.name)
         if member is None:
             if len(self.members) >= MAX_MEMBERS and not self._make_room():
                 self.rejected_count += 1
                 return None
-            member = self.members[row.name] = Member(row, now)
-        elif member.record.state != row.state or member.record.session != row.session:
-            member.since = now
-        self._toggle(row.name, member.mark)
-        member.record, member.mark = row, mark(row)
-        self._toggle(row.name, member.mark)
+            member = self.members[record.name] = Member(record, now)
+        elif member.record.state != record.state or member.record.session != record.session:
+            member.state_since = now
+        self._toggle_digest(record.name, member.digest)
+        member.record, member.digest = record, record_digest(record)
+        self._toggle_digest(record.name, member.digest)
         return member
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
+        """Removes a member; KeyError if it is unknown."""
         member = self.members.pop(name)
-        self._toggle(name, member.mark)
+        self._toggle_digest(name, member.digest)
 
     def _make_room(self) -> bool:
         gone = [m for m in self.members.values() if not m.living]
         if gone:
-            self.drop(min(gone, key=lambda m: m.since).record.name)
+            self.remove(min(gone, key=lambda m: m.state_since).record.name)
         return bool(gone)
 
-    def _toggle(self, name: str, one: int) -> None:
-        self.whole ^= one
-        self.parts[part(name)] ^= one & 0xFFFFFFFF
+    def _toggle_digest(self, name: str, digest: int) -> None:
+        self.digest ^= digest
+        self.bucket_digests[bucket_of(name)] ^= digest & 0xFFFFFFFF
 
-    def differing(self, parts: list[int]) -> list[MemberRecord]:
-        """The living of ours that lie in parts of the table in which the other's differs."""
-        differ = {i for i, (ours, theirs) in enumerate(zip(self.parts, parts, strict=True)) if ours != theirs}
-        rows = [self.me, *(m.record for m in self.members.values() if m.living)]
-        return [row for row in rows if part(row.name) in differ]
+    def differing_records(self, parts: list[int]) -> list[MemberRecord]:
+        """Records of live members in the buckets whose digests differ from `parts`, this process's included."""
+        differ = {
+            i
+            for i, (ours, theirs) in enumerate(zip(self.bucket_digests, parts, strict=True))
+            if ours != theirs
+        }
+        records = [self.me, *(m.record for m in self.members.values() if m.living)]
+        return [record for record in records if bucket_of(record.name) in differ]
 
 
-def part(name: str) -> int:
-    return crc32(name.encode()) % BUCKETS
+def bucket_of(name: str) -> int:
+    """The bucket whose digest includes the member of this name."""
+    return crc32(name.encode()) % DIGEST_BUCKETS
 
 
-def mark(row: MemberRecord) -> int:
-    """0 for who is not living: those are forgotten at each proxy in its own time. Suspicion passes too quickly to be
-    compared."""
-    if row.state > SUSPECT:
+def record_digest(record: MemberRecord) -> int:
+    """A 64-bit digest of the record; 0 if it is not alive, as each proxy drops such records at its own time. Suspicion
+    is too short-lived to be compared and is left out."""
+    if record.state > SUSPECT:
         return 0
-    text = f"{row.name}\0{row.incarnation}\0{row.session}".encode()
+    text = f"{record.name}\0{record.incarnation}\0{record.session}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
--- a/slatehub/fleet/membership.py
+++ b/slatehub/fleet/membership.py
@@ -1,13 +1,15 @@
-"""Who is there: SWIM with the Lifeguard corrections. Pure: time and messages in, messages and changes out. It owns the
-table of members, the probes and the rumours. It must never call a proxy lost because it was itself too late to listen,
-never forget one that may merely be cut off while its own bound allows, and never grow with what it is told.
+"""Fleet membership: SWIM with the Lifeguard extensions. Does no I/O: takes the time and messages, returns messages and
+changes. Maintains the member table, the probes and the rumours. A late turn of this process never leads to another
+proxy being declared lost, a member that may only be partitioned is kept until its retention time ends, and memory is
+bounded whatever is received.
 
 Sources: Das, Gupta, Motivala, SWIM (DSN 2002): probes in a shuffled round, indirect probes, suspicion, incarnation
-numbers, rumours on the backs of probes. Dadgar, Phillips, Currey, Lifeguard (2017): the health of one's own process
-stretches its patience (multiplier), a suspicion ends sooner the more accuse by themselves (dynamic timeout), and who is
-suspected is told first (buddy). Ours: one that is only told of is a member once it has answered us, directly or through
-another, so that names that nobody bears never count; the lost are asked again and again, so that two sides of a cut
-find each other; a late turn voids what was to be judged in it."""
+numbers, rumours piggybacked on probes. Dadgar, Phillips, Currey, Lifeguard (2017): the local health score lengthens
+the probe timeout (multiplier), a suspicion ends sooner the more members confirm it independently (dynamic timeout), and
+a suspected member is informed first (buddy system). Additions of this project: a process known only from rumours
+becomes a member once it has answered this process, directly or through another member, so that nonexistent names never
+count; lost members are contacted repeatedly, so that both sides of a partition find each other again; a late turn
+postpones the timeouts that would have ended in it."""
 
 from __future__ import annotations
 
@@ -24,7 +26,7 @@
     ALIVE,
     DEAD,
     LEFT,
-    ROWS_ROOM,
+    MAX_RECORDS_BYTES,
     SUSPECT,
     Ack,
     Envelope,
@@ -36,37 +38,41 @@
     Ping,
     PingRequest,
     TableDigests,
-    size,
+    encoded_size,
 )
 
 MS = 1_000
 SECOND = 1_000_000
-HELPERS = 3  # asked to probe for us
-WORST = 8  # of the health multiplier
-TOLD_MOST = 1024  # names heard of and not yet met
-RELAYS_MOST = 256
-TRIES = 4  # to meet one that we are told of
-MEET_RATE = 50  # hellos a second, of both kinds
-CLASH_AFTER = 2  # contradictions by another process: the row of one that has ended cannot answer our first
+INDIRECT_PROBES = 3  # members asked to probe on behalf of this process; also the fanout of gossip
+MAX_HEALTH_SCORE = 8  # upper bound of the local health score; the probe timeout is multiplied by 1 + score
+MAX_UNCONFIRMED = 1024  # processes known only from rumours
+MAX_RELAYS = 256  # pings relayed for other members, and joins through other members, at once
+MAX_JOIN_ATTEMPTS = 4  # before a process known only from rumours is dropped
+JOINS_PER_SECOND = 50  # to unconfirmed processes and in answer to unexpected senders
+# Contradictions by another process of this name before it is reported: the record of a process that has ended
+# causes one, but cannot answer the refutation of it.
+CLASH_REPORT_THRESHOLD = 2
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """Times in microseconds."""
+    """Settings of the membership protocol; times in microseconds."""
 
-    period: int = 500 * MS  # between two probes
-    timeout: int = 150 * MS  # for a direct answer
-    suspicion: float = 4.0  # periods at the least, times log10 of the members
-    suspicion_most: float = 6.0  # times the least, while nobody else accuses
-    gossip: int = 100 * MS
-    lost_every: int = 2 * SECOND  # between two tries to reach somebody lost, or a seed
-    forget: int = 3600 * SECOND  # a lost one is counted as perhaps there for so long
-    forget_left: int = 60 * SECOND
+    probe_interval_us: int = 500 * MS  # between two probes
+    probe_timeout_us: int = 150 * MS  # for a direct Ack
+    suspicion_factor: float = 4.0  # shortest suspicion: this many probe intervals, times log10 of the members
+    max_suspicion_factor: float = (
+        6.0  # longest suspicion, in shortest ones, while no other member confirms it
+    )
+    gossip_interval_us: int = 100 * MS
+    rejoin_interval_us: int = 2 * SECOND  # between two attempts to reach a lost member or a seed
+    lost_retention_us: int = 3600 * SECOND  # a lost member counts as possibly present for this long
+    left_retention_us: int = 60 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """For the log, and for whoever counts."""
+    """A change of a member's state, for the log and for counters."""
 
     name: str
     state: str  # alive, suspect, lost, left, clash, self
@@ -74,18 +80,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Out:
-    """A message for whoever listens there; `to`: its session, 0: not known."""
+class OutgoingMessage:
+    """A message to an address; `session`: the receiver's session, 0 if it is not known."""
 
     host: str
     port: int
-    to: int
+    session: int
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class MemberCounts:
-    """Proxies but for us. `lost`: not heard of, and perhaps merely cut off: what must be safe counts them as there."""
+    """Numbers of the other proxies. `lost`: not heard from, and possibly only partitioned: decisions that must be safe
+    count them as present."""
 
     alive: int
     suspect: int
@@ -102,553 +109,596 @@
 
 @dataclass(slots=True)
 class Probe:
+    """The probe under way. `nacks_due`: helpers that have not yet sent a Nack."""
+
     name: str
     number: int
-    began: int
-    helped: bool = False
+    started_at: int
+    indirect_sent: bool = False
     nacks_due: int = 0
     acked: bool = False
 
 
 @dataclass(slots=True)
-class Told:
-    """Somebody whom we have been told of and not met."""
+class UnconfirmedMember:
+    """A process known only from rumours: it has not yet answered this process."""
 
-    row: MemberRecord
-    by: str
-    tries: int = 0
-    at: int = 0
+    record: MemberRecord
+    source: str
+    attempts: int = 0
+    last_attempt_at: int = 0
 
 
-class Bucket:
-    """So many a second, and so many of them at once."""
+class TokenBucket:
+    """A token bucket: `rate` tokens a second, at most `burst` at once."""
 
     def __init__(self, rate: float, burst: float) -> None:
-        self.rate, self.burst, self.left, self.at = rate, burst, burst, 0
+        self.rate, self.burst, self.tokens, self.updated_at = rate, burst, burst, 0
 
     def take(self, now: int) -> bool:
-        self.left = min(self.burst, self.left + self.rate * max(0, now - self.at) / SECOND)
-        self.at = now
-        if self.left < 1:
+        """Takes a token; False if there is none."""
+        self.tokens = min(self.burst, self.tokens + self.rate * max(0, now - self.updated_at) / SECOND)
+        self.updated_at = now
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
 class Membership:
-    """One process's. `me`: its row as it starts. Times count in microseconds from the Unix epoch, by the clock that a
-    new start's incarnation is read from, and never run backwards."""
+    """The membership state of one process. `me`: its own record at the start. Times are microseconds since the Unix
+    epoch, from the clock that also gives a new process its incarnation number; they never decrease."""
 
     def __init__(
-        self, me: MemberRecord, seeds: Iterable[tuple[str, int]], terms: MembershipConfig, rng: Random
+        self, me: MemberRecord, seeds: Iterable[tuple[str, int]], config: MembershipConfig, rng: Random
     ) -> None:
         self.member_table = MemberTable(me)
         self.seeds = tuple(seed for seed in seeds if seed != (me.host, me.port))
-        self.terms, self.rng = terms, rng
-        self.health = 0  # 0: well, WORST: trust nothing that we find missing
-        self.out: list[Out] = []
+        self.config, self.rng = config, rng
+        self.health = 0  # 0: healthy; MAX_HEALTH_SCORE: own failed probes say little
+        self.outbox: list[OutgoingMessage] = []
         self.changes: list[MemberChange] = []
-        self.rumours: dict[str, int] = {}  # name -> how often it has been told
-        self.unconfirmed: OrderedDict[str, Told] = OrderedDict()
-        self.relays: OrderedDict[int, tuple[str, int, int]] = (
-            OrderedDict()
-        )  # our number -> whose, their number, until
-        self.through: OrderedDict[int, str] = (
-            OrderedDict()
-        )  # our number -> whom we try to meet through another
-        self.round: list[str] = []
+        self.rumours: dict[str, int] = {}  # name -> times sent
+        self.unconfirmed: OrderedDict[str, UnconfirmedMember] = OrderedDict()
+        # Own sequence number -> requester, its sequence number, deadline.
+        self.relays: OrderedDict[int, tuple[str, int, int]] = OrderedDict()
+        # Own sequence number -> unconfirmed process that another member pings.
+        self.indirect_joins: OrderedDict[int, str] = OrderedDict()
+        self.probe_round: list[str] = []
         self.probe: Probe | None = None
-        self.number = rng.getrandbits(32)
-        self.next_probe = self.next_gossip = self.next_lost = self.next_meet = 0
-        self.compared = 0
-        self.bucket = Bucket(MEET_RATE, MEET_RATE)
-        self.clashes: dict[int, int] = {}  # session of another process of our name -> contradictions
+        self.sequence = rng.getrandbits(32)
+        self.next_probe = self.next_gossip = self.next_rejoin = self.next_join = 0
+        self.compared_at = 0
+        self.join_limiter = TokenBucket(JOINS_PER_SECOND, JOINS_PER_SECOND)
+        self.clashes: dict[int, int] = {}  # session of another process of this name -> contradictions
         self.refuted_at = 0
         self.left = False
-        self.reunion = 0  # turns in which the lost are asked for at once, as one of them has been found
-        self.false_alarms = 0  # suspicions that were contradicted
+        # Further rounds that contact several lost members at once, after one of them has come back.
+        self.fast_rejoin_rounds = 0
+        self.false_alarms = 0  # suspicions that were refuted
 
-    # ------------------------------------------------------------ what others ask
+    # ------------------------------------------------------------ queries
 
     @property
     def self_record(self) -> MemberRecord:
+        """The record of this process."""
         return self.member_table.me
 
     def counts(self) -> MemberCounts:
+        """The numbers of other members by state."""
         by = [0, 0, 0, 0]
         for member in self.member_table.members.values():
             by[member.record.state] += 1
         return MemberCounts(by[ALIVE], by[SUSPECT], by[DEAD])
 
-    def take(self) -> list[Out]:
-        out, self.out = self.out, []
+    def drain_outbox(self) -> list[OutgoingMessage]:
+        """Returns and removes the messages to send."""
+        out, self.outbox = self.outbox, []
         return out
 
-    def news(self) -> list[MemberChange]:
+    def drain_changes(self) -> list[MemberChange]:
+        """Returns and removes the changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
-    def due(self) -> int:
-        """When `advance` should be called next."""
-        times = [self.next_probe, self.next_lost, *self._probe_due()]
+    def next_deadline(self) -> int:
+        """The time at which `advance` should be called next, microseconds."""
+        times = [self.next_probe, self.next_rejoin, *self._probe_deadlines()]
         if self.rumours:
             times.append(self.next_gossip)
         if self.unconfirmed:
-            times.append(self.next_meet)
-        times += [m.until for m in self.member_table.members.values() if m.record.state == SUSPECT]
+            times.append(self.next_join)
+        times += [m.suspected_until for m in self.member_table.members.values() if m.record.state == SUSPECT]
         times += [until for _, _, until in self.relays.values()]
         return min(times)
 
-    def _probe_due(self) -> list[int]:
+    def _probe_deadlines(self) -> list[int]:
         probe = self.probe
-        return [probe.began + self._patience] if probe and not probe.helped and not probe.acked else []
+        return (
+            [probe.started_at + self._probe_timeout_us]
+            if probe and not probe.indirect_sent and not probe.acked
+            else []
+        )
 
     @property
-    def _patience(self) -> int:
-        return self.terms.timeout * (1 + self.health)
+    def _probe_timeout_us(self) -> int:
+        return self.config.probe_timeout_us * (1 + self.health)
 
     # ------------------------------------------------------------ time
 
     def start(self, now: int) -> None:
-        self.next_probe = now + int(self.rng.random() * self.terms.period)
-        self.next_lost = now + self.terms.lost_every
-        self._greet_seeds()
+        """Starts the timers and contacts the seeds."""
+        self.next_probe = now + int(self.rng.random() * self.config.probe_interval_us)
+        self.next_rejoin = now + self.config.rejoin_interval_us
+        self._join_seeds()
 
     def advance(self, now: int, late: int = 0) -> None:
-        """Whatever is due. `late`: by how much this turn comes too late; what should have been judged in the meantime
-        is judged once we have had time to listen."""
+        """Runs everything that is due. `late`: the delay of this turn, microseconds; after a long delay the timeouts
+        that ended in the meantime are extended, so that waiting answers are read first."""
         if self.left:
             return
-        if late > self.terms.timeout:
-            self._overslept(now, late)
-        self._end_relays(now)
-        self._help(now)
+        if late > self.config.probe_timeout_us:
+            self._compensate_lateness(now, late)
+        self._expire_relays(now)
+        self._send_indirect_probes(now)
         if self.next_probe <= now:
-            self._judge(now)
-            self._begin(now)
-            self.next_probe = now + self.terms.period * (1 + self.health)
-        self._bury(now)
-        if self.unconfirmed and self.next_meet <= now:
-            self._meet(now)
+            self._finish_probe(now)
+            self._start_probe(now)
+            self.next_probe = now + self.config.probe_interval_us * (1 + self.health)
+        self._expire_suspicions(now)
+        if self.unconfirmed and self.next_join <= now:
+            self._contact_unconfirmed(now)
         if self.rumours and self.next_gossip <= now:
-            self._spread(now)
-        if self.next_lost <= now:
-            self._seek(now)
+            self._send_gossip(now)
+        if self.next_rejoin <= now:
+            self._contact_lost(now)
 
-    def _overslept(self, now: int, late: int) -> None:
-        """Guards against a process that was frozen, or starved, and accuses all the others of its own silence."""
-        self._worse()
+    def _compensate_lateness(self, now: int, late: int) -> None:
+        """Keeps a process that was suspended or starved of CPU time from suspecting all others for its own silence."""
+        self._degrade_health()
         if self.probe:
-            self.probe.began = now
-            self.next_probe = max(self.next_probe, now + self._patience * 2)
+            self.probe.started_at = now
+            self.next_probe = max(self.next_probe, now + self._probe_timeout_us * 2)
         for member in self.member_table.members.values():
             if member.record.state == SUSPECT:
-                member.until += late
+                member.suspected_until += late
 
-    def _worse(self) -> None:
-        self.health = min(WORST, self.health + 1)
+    def _degrade_health(self) -> None:
+        self.health = min(MAX_HEALTH_SCORE, self.health + 1)
 
     # ------------------------------------------------------------ probes
 
-    def _begin(self, now: int) -> None:
-        member = self._next()
+    def _start_probe(self, now: int) -> None:
+        member = self._next_probe_target()
         if not member:
             return
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        self.probe = Probe(member.record.name, self.number, now)
-        self._send(member.record, Ping(self.number, self.member_table.whole, self._rows(member)))
-
-    def _next(self) -> Member | None:
-        """The members in a shuffled round: each is probed within two rounds, whatever the shuffles."""
-        while self.round:
-            member = self.member_table.members.get(self.round.pop())
+        self.sequence = (self.sequence + 1) & 0xFFFFFFFF
+        self.probe = Probe(member.record.name, self.sequence, now)
+        self._send(member.record, Ping(self.sequence, self.member_table.digest, self._rumours_for(member)))
+
+    def _next_probe_target(self) -> Member | None:
+        """Goes through the members in a shuffled round: each is probed within two rounds, however they are shuffled."""
+        while self.probe_round:
+            member = self.member_table.members.get(self.probe_round.pop())
             if member and member.living:
                 return member
-        self.round = [m.record.name for m in self.member_table.live_members()]
-        self.rng.shuffle(self.round)
-        return self.member_table.members[self.round.pop()] if self.round else None
+        self.probe_round = [m.record.name for m in self.member_table.live_members()]
+        self.rng.shuffle(self.probe_round)
+        return self.member_table.members[self.probe_round.pop()] if self.probe_round else None
 
-    def _help(self, now: int) -> None:
-        """No answer yet: others are asked to try."""
+    def _send_indirect_probes(self, now: int) -> None:
+        """Asks other members to probe when the direct probe has not been answered in time."""
         probe = self.probe
-        if not probe or probe.helped or probe.acked or now < probe.began + self._patience:
+        if not probe or probe.indirect_sent or probe.acked or now < probe.started_at + self._probe_timeout_us:
             return
-        probe.helped = True
+        probe.indirect_sent = True
         others = [
             m
             for m in self.member_table.live_members()
             if m.record.name != probe.name and m.record.state == ALIVE
         ]
-        helpers = self.rng.sample(others, min(HELPERS, len(others)))
+        helpers = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
         probe.nacks_due = len(helpers)
         for helper in helpers:
-            self._send(helper.record, PingRequest(probe.number, probe.name, self._rows(helper)))
-        if member := self.member_table.members.get(probe.name):  # a datagram may simply have been lost
-            self._send(member.record, Ping(probe.number, self.member_table.whole, self._rows(member)))
+            self._send(helper.record, PingRequest(probe.number, probe.name, self._rumours_for(helper)))
+        if member := self.member_table.members.get(probe.name):  # the datagram may only have been lost
+            self._send(member.record, Ping(probe.number, self.member_table.digest, self._rumours_for(member)))
 
-    def _judge(self, now: int) -> None:
+    def _finish_probe(self, now: int) -> None:
         probe, self.probe = self.probe, None
         if not probe:
             return
         if probe.acked:
             self.health = max(0, self.health - 1)
             return
-        # Helpers who cannot reach it say so: who hears nothing at all had better doubt itself.
-        if probe.nacks_due or not probe.helped:
-            self._worse()
+        # A helper that cannot reach the target sends a Nack; missing Nacks point to a fault of this process.
+        if probe.nacks_due or not probe.indirect_sent:
+            self._degrade_health()
         member = self.member_table.members.get(probe.name)
         if member and member.record.state in (ALIVE, SUSPECT):
-            self._accuse(now, member.record, self.self_record.name)
+            self._suspect(now, member.record, self.self_record.name)
 
-    def _end_relays(self, now: int) -> None:
+    def _expire_relays(self, now: int) -> None:
         for number in [n for n, (_, _, until) in self.relays.items() if until <= now]:
-            name, theirs, _ = self.relays.pop(number)
+            name, their_number, _ = self.relays.pop(number)
             if member := self.member_table.members.get(name):
-                self._send(member.record, Nack(theirs))
+                self._send(member.record, Nack(their_number))
 
     # ------------------------------------------------------------ suspicion
 
-    def _accuse(self, now: int, row: MemberRecord, by: str) -> None:
-        """A suspicion of ours or one that we are told. More who accuse by themselves bring its end nearer."""
-        member = self.member_table.members[row.name]
+    def _suspect(self, now: int, record: MemberRecord, by: str) -> None:
+        """Records a suspicion, by this process or another. More independent accusers shorten its timeout."""
+        member = self.member_table.members[record.name]
         if member.record.state == ALIVE:
             member.accusers = set()
-            member.asked = now
-            self.member_table.update(replace(row, state=SUSPECT, suspected_by=by), now)
-            self._change(row.name, "suspect", f"no answer to {by}")
-        elif by in member.accusers or len(member.accusers) > HELPERS:
+            member.suspected_at = now
+            self.member_table.update(replace(record, state=SUSPECT, suspected_by=by), now)
+            self._record_change(record.name, "suspect", f"no answer to {by}")
+        elif by in member.accusers or len(member.accusers) > INDIRECT_PROBES:
             return
         member.accusers.add(by)
-        member.until = member.asked + self._suspicion(len(member.accusers) - 1)
+        member.suspected_until = member.suspected_at + self._suspicion_timeout_us(len(member.accusers) - 1)
         member.record = replace(member.record, suspected_by=by)
-        self._rumour(row.name)
+        self._queue_rumour(record.name)
 
-    def _suspicion(self, confirmed: int) -> int:
+    def _suspicion_timeout_us(self, confirmed: int) -> int:
         count = len(self.member_table.members) + 1
-        least = self.terms.suspicion * max(1.0, log10(count)) * self.terms.period
-        most = least * self.terms.suspicion_most
-        if count - 2 < HELPERS:  # too few to confirm anything
+        least = self.config.suspicion_factor * max(1.0, log10(count)) * self.config.probe_interval_us
+        most = least * self.config.max_suspicion_factor
+        if count - 2 < INDIRECT_PROBES:  # too few members for independent confirmations
             return int(least)
-        return int(max(least, most - (most - least) * log(confirmed + 1) / log(HELPERS + 1)))
+        return int(max(least, most - (most - least) * log(confirmed + 1) / log(INDIRECT_PROBES + 1)))
 
-    def _bury(self, now: int) -> None:
+    def _expire_suspicions(self, now: int) -> None:
         for member in [
-            m for m in self.member_table.members.values() if m.record.state == SUSPECT and m.until <= now
+            m
+            for m in self.member_table.members.values()
+            if m.record.state == SUSPECT and m.suspected_until <= now
         ]:
-            accusers, waited = len(member.accusers), (now - member.asked) / SECOND
+            accusers, waited = len(member.accusers), (now - member.suspected_at) / SECOND
             self.member_table.update(replace(member.record, state=DEAD, suspected_by=""), now)
-            self._rumour(member.record.name)
-            self._change(
-                member.record.name, "lost", f"suspected by {accusers} for {waited:.1f} s without a word"
+            self._queue_rumour(member.record.name)
+            self._record_change(
+                member.record.name, "lost", f"suspected by {accusers} for {waited:.1f} s without an answer"
             )
 
-    # ------------------------------------------------------------ those who are lost, or only told of
+    # ------------------------------------------------------------ lost and unconfirmed members
 
-    def _seek(self, now: int) -> None:
-        """Tries one who is lost, or a seed while there are few: both sides of a cut go on asking for each other."""
-        self.next_lost = now + self.terms.lost_every
+    def _contact_lost(self, now: int) -> None:
+        """Contacts a lost member, and a seed that is not a member: both sides of a partition keep trying to reach each
+        other. Also drops members whose retention time has ended."""
+        self.next_rejoin = now + self.config.rejoin_interval_us
         for name, member in list(self.member_table.members.items()):
-            span = self.terms.forget if member.record.state == DEAD else self.terms.forget_left
-            if not member.living and now - member.since > span:
-                self.member_table.drop(name)
+            span = (
+                self.config.lost_retention_us
+                if member.record.state == DEAD
+                else self.config.left_retention_us
+            )
+            if not member.living and now - member.state_since > span:
+                self.member_table.remove(name)
         lost = [m.record for m in self.member_table.members.values() if m.record.state == DEAD]
-        for row in self.rng.sample(lost, min(len(lost), HELPERS if self.reunion else 1)):
-            self._emit(row.host, row.port, 0, Join(self.self_record))
-        if lost and self.reunion:
-            self.reunion -= 1
-            self.next_lost = now + self.terms.gossip
+        for record in self.rng.sample(
+            lost, min(len(lost), INDIRECT_PROBES if self.fast_rejoin_rounds else 1)
+        ):
+            self._emit(record.host, record.port, 0, Join(self.self_record))
+        if lost and self.fast_rejoin_rounds:
+            self.fast_rejoin_rounds -= 1
+            self.next_rejoin = now + self.config.gossip_interval_us
         known = {(m.record.host, m.record.port) for m in self.member_table.live_members()}
         if missing := [seed for seed in self.seeds if seed not in known]:
             self._emit(*self.rng.choice(missing), 0, Join(self.self_record))
 
-    def _greet_seeds(self) -> None:
+    def _join_seeds(self) -> None:
         for host, port in self.seeds:
             self._emit(host, port, 0, Join(self.self_record))
 
-    def _hear_of(self, row: MemberRecord, by: str, now: int) -> None:
-        """A name that is new to us: counts once it has answered."""
-        if row.state > SUSPECT:
+    def _add_unconfirmed(self, record: MemberRecord, by: str, now: int) -> None:
+        """Keeps a process that a rumour names; it becomes a member once it has answered."""
+        if record.state > SUSPECT:
             return
-        if row.name not in self.unconfirmed and len(self.unconfirmed) >= TOLD_MOST:
+        if record.name not in self.unconfirmed and len(self.unconfirmed) >= MAX_UNCONFIRMED:
             self.unconfirmed.popitem(last=False)
-        held = self.unconfirmed.setdefault(row.name, Told(row, by))
-        if row.incarnation > held.row.incarnation:
-            held.row = row
-        self.next_meet = min(self.next_meet or now, now)
-
-    def _meet(self, now: int) -> None:
-        """Asks those who wait for it, at a bounded rate; in vain, then through whoever told us of them."""
-        self.next_meet = now + 100 * MS
-        for name, told in list(self.unconfirmed.items()):
-            if told.at + self._patience * (1 + told.tries) > now and told.tries:
+        known = self.unconfirmed.setdefault(record.name, UnconfirmedMember(record, by))
+        if record.incarnation > known.record.incarnation:
+            known.record = record
+        self.next_join = min(self.next_join or now, now)
+
+    def _contact_unconfirmed(self, now: int) -> None:
+        """Contacts unconfirmed processes at a bounded rate; from the second attempt on also through the member that
+        named them."""
+        self.next_join = now + 100 * MS
+        for name, unconfirmed in list(self.unconfirmed.items()):
+            if (
+                unconfirmed.last_attempt_at + self._probe_timeout_us * (1 + unconfirmed.attempts) > now
+                and unconfirmed.attempts
+            ):
                 continue
-            if told.tries >= TRIES:
+            if unconfirmed.attempts >= MAX_JOIN_ATTEMPTS:
                 del self.unconfirmed[name]
                 continue
-            if not self.bucket.take(now):
+            if not self.join_limiter.take(now):
                 return
-            told.tries += 1
-            told.at = now
-            self._emit(told.row.host, told.row.port, told.row.session, Join(self.self_record))
-            teller = self.member_table.members.get(told.by)
-            if told.tries > 1 and teller:
-                self.number = (self.number + 1) & 0xFFFFFFFF
-                self._send(teller.record, PingRequest(self.number, name, []))
-                self.through[self.number] = name
-                if len(self.through) > RELAYS_MOST:
-                    self.through.popitem(last=False)
+            unconfirmed.attempts += 1
+            unconfirmed.last_attempt_at = now
+            self._emit(
+                unconfirmed.record.host,
+                unconfirmed.record.port,
+                unconfirmed.record.session,
+                Join(self.self_record),
+            )
+            source = self.member_table.members.get(unconfirmed.source)
+            if unconfirmed.attempts > 1 and source:
+                self.sequence = (self.sequence + 1) & 0xFFFFFFFF
+                self._send(source.record, PingRequest(self.sequence, name, []))
+                self.indirect_joins[self.sequence] = name
+                if len(self.indirect_joins) > MAX_RELAYS:
+                    self.indirect_joins.popitem(last=False)
 
     # ------------------------------------------------------------ rumours
 
-    def _rumour(self, name: str) -> None:
+    def _queue_rumour(self, name: str) -> None:
         self.rumours[name] = 0
 
-    def _spread(self, now: int) -> None:
-        self.next_gossip = now + self.terms.gossip
+    def _send_gossip(self, now: int) -> None:
+        self.next_gossip = now + self.config.gossip_interval_us
         others = self.member_table.live_members()
-        for member in self.rng.sample(others, min(HELPERS, len(others))):
-            if rows := self._rows(member):
-                self._send(member.record, Gossip(rows))
+        for member in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
+            if records := self._rumours_for(member):
+                self._send(member.record, Gossip(records))
         if not others:
             self.rumours.clear()
 
-    def _rows(self, to: Member) -> list[MemberRecord]:
-        """The rumours that were told least, as many as fit; first of all to one that is suspected, that it is."""
-        rows, room = [], ROWS_ROOM
+    def _rumours_for(self, to: Member) -> list[MemberRecord]:
+        """The records sent least often so far, as many as fit. A suspected receiver gets its own record first, so that
+        it can refute the suspicion."""
+        records, room = [], MAX_RECORDS_BYTES
         if to.record.state == SUSPECT:
-            rows.append(to.record)
-            room -= size(to.record)
+            records.append(to.record)
+            room -= encoded_size(to.record)
         most = 4 * ceil(log10(len(self.member_table.members) + 2))
         for name, times in sorted(self.rumours.items(), key=lambda item: item[1]):
-            row = self.self_record if name == self.self_record.name else self._row(name)
-            if row is None or times >= most:
+            record = self.self_record if name == self.self_record.name else self._find_record(name)
+            if record is None or times >= most:
                 del self.rumours[name]
                 continue
-            room -= size(row)
+            room -= encoded_size(record)
             if room < 0:
                 break
-            if row is not to.record:
-                rows.append(row)
+            if record is not to.record:
+                records.append(record)
             self.rumours[name] = times + 1
-        return rows
+        return records
 
-    def _row(self, name: str) -> MemberRecord | None:
+    def _find_record(self, name: str) -> MemberRecord | None:
         member = self.member_table.members.get(name)
         return member.record if member else None
 
-    # ------------------------------------------------------------ messages in
-
-    def stranger(self, now: int, letter: Envelope, session: int) -> None:
-        """Something that does not name our session. Believed is only that somebody should hear it."""
-        message = letter.message
-        held = self.member_table.members.get(letter.sender)
-        row = message.row if isinstance(message, Join) else held.record if held else None
-        if row and row.name != self.self_record.name and self.bucket.take(now):
-            self._emit(row.host, row.port, session, Join(self.self_record))
-            if (
-                held and held.record.session != session
-            ):  # a process of a name that we hold another one for: it should know
-                self._emit(row.host, row.port, session, Gossip([held.record]))
-
-    def heard(self, now: int, letter: Envelope, session: int) -> None:
-        """A message written for us, in our lifetime, by this session."""
+    # ------------------------------------------------------------ incoming messages
+
+    def handle_stale_session(self, now: int, envelope: Envelope, session: int) -> None:
+        """Handles a message that does not name this process's session. Its content is not believed: the claimed sender
+        is only sent a Join, and the record of another process of its name if there is one."""
+        message = envelope.message
+        known = self.member_table.members.get(envelope.sender)
+        record = message.record if isinstance(message, Join) else known.record if known else None
+        if record and record.name != self.self_record.name and self.join_limiter.take(now):
+            self._emit(record.host, record.port, session, Join(self.self_record))
+            # The table has another process of this name: the sender gets its record.
+            if known and known.record.session != session:
+                self._emit(record.host, record.port, session, Gossip([known.record]))
+
+    def handle(self, now: int, envelope: Envelope, session: int) -> None:
+        """Handles a message that `session` sent to this process's current session."""
         if self.left:
             return
-        message, sender = letter.message, letter.sender
+        message, sender = envelope.message, envelope.sender
         if isinstance(message, Join):
-            self._greeted(now, message.row, session)
+            self._handle_join(now, message.record, session)
         member = self.member_table.members.get(sender)
         if sender == self.self_record.name or member is None:
             return
         if session != member.record.session:
-            # Another process of its name, older or newer than the one we hold. It is not taken for that one; where it
-            # can be heard at the same address it says what it is.
+            # Another process of the same name, older or newer than the one in the table. It is not treated as that
+            # one; if it is reachable at the same address, it will answer with its own record.
             if not isinstance(message, Join):
                 self._send(replace(member.record, session=session), Gossip([member.record]))
             return
-        member.heard = now
+        member.last_heard = now
         if not member.living and not isinstance(message, Join):
-            self._send(
-                member.record, Gossip([member.record])
-            )  # it does not know that it counts as lost, and says so now
+            # The sender does not know that it is recorded as not alive; this lets it refute the record.
+            self._send(member.record, Gossip([member.record]))
         if isinstance(message, Ping):
-            self._send(member.record, Ack(message.number, self.member_table.whole, self._rows(member)))
+            self._send(
+                member.record, Ack(message.number, self.member_table.digest, self._rumours_for(member))
+            )
         elif isinstance(message, Ack):
-            self._acked(now, message, sender)
+            self._handle_ack(now, message, sender)
         elif isinstance(message, Nack):
             if self.probe and self.probe.number == message.number and self.probe.nacks_due:
                 self.probe.nacks_due -= 1
         elif isinstance(message, PingRequest):
-            self._ping_for(now, message, sender)
+            self._handle_ping_request(now, message, sender)
         elif isinstance(message, TableDigests):
-            self._answer_compare(member, message)
-        self._take_rows(now, getattr(message, "rows", ()), member)
-        if isinstance(message, (Ping, Ack)) and message.table != self.member_table.whole:
-            self._compare(now, member)
-
-    def _greeted(self, now: int, row: MemberRecord, session: int) -> None:
-        """It has answered us, so it is there: the proof that makes a member."""
-        if row.name == self.self_record.name:
-            self._about_me(now, row)
+            self._handle_digests(member, message)
+        self._merge_records(now, getattr(message, "records", ()), member)
+        if isinstance(message, (Ping, Ack)) and message.table != self.member_table.digest:
+            self._send_digests(now, member)
+
+    def _handle_join(self, now: int, record: MemberRecord, session: int) -> None:
+        """Handles a Join: it names this process's session, which proves that the sender is reachable and makes it a
+        member."""
+        if record.name == self.self_record.name:
+            self._refute(now, record)
             return
-        if row.session != session:
+        if record.session != session:
             return
-        known = self.member_table.members.get(row.name)
-        self.unconfirmed.pop(row.name, None)
-        gone = known and not known.living and row.incarnation <= known.record.incarnation
-        if known and (gone or (known.record.session != session and not self.member_table.newer(row, now))):
-            # It is to contradict what we hold; and it may hold another process for us. Bounded: both may go on so.
-            if not self.bucket.take(now):
+        known = self.member_table.members.get(record.name)
+        self.unconfirmed.pop(record.name, None)
+        gone = known and not known.living and record.incarnation <= known.record.incarnation
+        if known and (
+            gone or (known.record.session != session and not self.member_table.supersedes(record, now))
+        ):
+            # The sender has to refute the record held here, and may itself hold a record of another process under this
+            # name. Rate-limited, as both sides may go on answering each other.
+            if not self.join_limiter.take(now):
                 return
-            self._emit(row.host, row.port, session, Gossip([known.record]))
-            self._emit(row.host, row.port, session, Join(self.self_record))
+            self._emit(record.host, record.port, session, Gossip([known.record]))
+            self._emit(record.host, record.port, session, Join(self.self_record))
             return
-        if not self.member_table.newer(row, now):
+        if not self.member_table.supersedes(record, now):
             return
-        self._welcome(now, row, known)
-        if not known or not known.living:  # it is to learn of the others, and of us
-            self._emit(row.host, row.port, session, Join(self.self_record))
+        self._mark_alive(now, record, known)
+        if not known or not known.living:  # so that it learns of the others and of this process
+            self._emit(record.host, record.port, session, Join(self.self_record))
 
-    def _welcome(self, now: int, row: MemberRecord, known: Member | None) -> None:
-        was = known.record if known else None
-        member = self.member_table.update(row, now)
+    def _mark_alive(self, now: int, record: MemberRecord, known: Member | None) -> None:
+        previous = known.record if known else None
+        member = self.member_table.update(record, now)
         if member is None:
             return
-        member.heard = now
-        self._rumour(row.name)
-        # we have just come, or come back: who else is there?
-        if len(self.member_table.members) == 1 or (was and was.state == DEAD):
-            self._send(row, TableDigests(list(self.member_table.parts)))
-        if was is None:
-            self._change(row.name, "alive", "has joined")
-        elif was.session != row.session:
-            self._change(row.name, "alive", "a new process under its name")
-        if was and was.state == DEAD and self.member_table.members:
-            self.reunion = 1 + len(self.member_table.members) // HELPERS
-            self.next_lost = min(self.next_lost, now + self.terms.gossip)
-        if was and was.state != ALIVE and was.session == row.session:
-            self.false_alarms += was.state == SUSPECT
-            self._change(row.name, "alive", f"was {STATES[was.state]}, and has contradicted it")
-
-    def _acked(self, now: int, message: Ack, sender: str) -> None:
+        member.last_heard = now
+        self._queue_rumour(record.name)
+        # This process has just joined or rejoined: it asks for the other members.
+        if len(self.member_table.members) == 1 or (previous and previous.state == DEAD):
+            self._send(record, TableDigests(list(self.member_table.bucket_digests)))
+        if previous is None:
+            self._record_change(record.name, "alive", "has joined")
+        elif previous.session != record.session:
+            self._record_change(record.name, "alive", "a new process under its name")
+        if previous and previous.state == DEAD and self.member_table.members:
+            self.fast_rejoin_rounds = 1 + len(self.member_table.members) // INDIRECT_PROBES
+            self.next_rejoin = min(self.next_rejoin, now + self.config.gossip_interval_us)
+        if previous and previous.state != ALIVE and previous.session == record.session:
+            self.false_alarms += previous.state == SUSPECT
+            self._record_change(record.name, "alive", f"was {STATES[previous.state]}, has refuted it")
+
+    def _handle_ack(self, now: int, message: Ack, sender: str) -> None:
         probe = self.probe
         if probe and probe.number == message.number:
-            probe.acked = True  # through a helper too: then it has come the long way
-        if name := self.through.pop(message.number, None):
-            for row in message.rows:
-                fits = row.name == name and row.state == ALIVE and name not in self.member_table.members
-                if fits and self.member_table.newer(row, now):
+            probe.acked = True  # also when it was relayed by a helper
+        if name := self.indirect_joins.pop(message.number, None):
+            for record in message.records:
+                fits = record.name == name and record.state == ALIVE and name not in self.member_table.members
+                if fits and self.member_table.supersedes(record, now):
                     self.unconfirmed.pop(name, None)
-                    self._welcome(now, row, None)
+                    self._mark_alive(now, record, None)
         if relay := self.relays.pop(message.number, None):
-            name, theirs, _ = relay
+            name, their_number, _ = relay
             if member := self.member_table.members.get(name):
                 subject = self.member_table.members.get(sender)
-                rows = [subject.record] if subject else []
-                self._send(member.record, Ack(theirs, self.member_table.whole, rows))
+                records = [subject.record] if subject else []
+                self._send(member.record, Ack(their_number, self.member_table.digest, records))
 
-    def _ping_for(self, now: int, message: PingRequest, sender: str) -> None:
+    def _handle_ping_request(self, now: int, message: PingRequest, sender: str) -> None:
         target = self.member_table.members.get(message.target)
-        if target is None or len(self.relays) >= RELAYS_MOST:
+        if target is None or len(self.relays) >= MAX_RELAYS:
             return
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        self.relays[self.number] = (sender, message.number, now + self.terms.timeout * 4 // 5)
-        self._send(target.record, Ping(self.number, self.member_table.whole, self._rows(target)))
+        self.sequence = (self.sequence + 1) & 0xFFFFFFFF
+        self.relays[self.sequence] = (sender, message.number, now + self.config.probe_timeout_us * 4 // 5)
+        self._send(target.record, Ping(self.sequence, self.member_table.digest, self._rumours_for(target)))
 
-    def _take_rows(self, now: int, rows: Iterable[MemberRecord], sender: Member) -> None:
-        """What another says of members. Where it is behind the times it is told so."""
+    def _merge_records(self, now: int, records: Iterable[MemberRecord], sender: Member) -> None:
+        """Merges another member's records. Where they are outdated, the sender gets the newer ones."""
         stale = []
-        for row in rows:
-            if row.name == self.self_record.name:
-                self._about_me(now, row)
-            elif held := self.member_table.members.get(row.name):
-                if not held.living and (row.incarnation, row.state) < (
-                    held.record.incarnation,
-                    held.record.state,
+        for record in records:
+            if record.name == self.self_record.name:
+                self._refute(now, record)
+            elif known := self.member_table.members.get(record.name):
+                if not known.living and (record.incarnation, record.state) < (
+                    known.record.incarnation,
+                    known.record.state,
                 ):
-                    stale.append(held.record)
-                self._told(now, row, held)
+                    stale.append(known.record)
+                self._merge_record(now, record, known)
             else:
-                self._hear_of(row, sender.record.name, now)
+                self._add_unconfirmed(record, sender.record.name, now)
         if stale:
             self._send(sender.record, Gossip(stale[:8]))
 
-    def _told(self, now: int, row: MemberRecord, held: Member) -> None:
-        if row.state == SUSPECT and row.incarnation == held.record.incarnation and held.living:
-            self._accuse(now, replace(held.record, suspected_by=row.suspected_by), row.suspected_by or "?")
+    def _merge_record(self, now: int, record: MemberRecord, known: Member) -> None:
+        if record.state == SUSPECT and record.incarnation == known.record.incarnation and known.living:
+            self._suspect(
+                now, replace(known.record, suspected_by=record.suspected_by), record.suspected_by or "?"
+            )
             return
-        if not self.member_table.newer(row, now):
+        if not self.member_table.supersedes(record, now):
             return
-        if row.state == ALIVE:
-            self._welcome(now, row, held)
-        elif row.state == SUSPECT:
-            self._welcome(now, replace(row, state=ALIVE, suspected_by=""), held)
-            self._accuse(now, row, row.suspected_by or "?")
+        if record.state == ALIVE:
+            self._mark_alive(now, record, known)
+        elif record.state == SUSPECT:
+            self._mark_alive(now, replace(record, state=ALIVE, suspected_by=""), known)
+            self._suspect(now, record, record.suspected_by or "?")
         else:
-            self.member_table.update(row, now)
-            self._rumour(row.name)
-            self._change(row.name, STATES[row.state], "as others tell" if row.state == DEAD else "it said so")
+            self.member_table.update(record, now)
+            self._queue_rumour(record.name)
+            self._record_change(
+                record.name,
+                STATES[record.state],
+                "reported by others" if record.state == DEAD else "announced by itself",
+            )
 
-    def _about_me(self, now: int, row: MemberRecord) -> None:
-        """Contradicts what is said of us, with a higher incarnation. Another process under our name does so too,
-        without end: that is said aloud, and contradicted once a period only."""
+    def _refute(self, now: int, record: MemberRecord) -> None:
+        """Refutes a record of this process with a higher incarnation. Another process of the same name does the same,
+        endlessly: that is reported, and refuted once a probe interval only."""
         me = self.self_record
-        if (row.incarnation, row.state) <= (me.incarnation, me.state) and row.session == me.session:
+        if (record.incarnation, record.state) <= (me.incarnation, me.state) and record.session == me.session:
             return
-        if row.session != me.session and row.incarnation < me.incarnation:
-            self._rumour(me.name)  # somebody holds us for an earlier process
+        if record.session != me.session and record.incarnation < me.incarnation:
+            self._queue_rumour(me.name)  # the sender holds the record of an earlier process
             return
-        if row.incarnation > now // 1000 + 366 * 24 * 3600 * 1000:
+        if record.incarnation > now // 1000 + 366 * 24 * 3600 * 1000:
             return
-        if row.session != me.session:
-            count = self.clashes[row.session] = self.clashes.get(row.session, 0) + 1
+        if record.session != me.session:
+            count = self.clashes[record.session] = self.clashes.get(record.session, 0) + 1
             if len(self.clashes) > 16:
-                self.clashes = {row.session: count}
-            if count == CLASH_AFTER:
-                self._change(me.name, "clash", f"another process at {row.host}:{row.port} has this name too")
-            if now - self.refuted_at < self.terms.period:
+                self.clashes = {record.session: count}
+            if count == CLASH_REPORT_THRESHOLD:
+                self._record_change(
+                    me.name, "clash", f"another process at {record.host}:{record.port} has this name too"
+                )
+            if now - self.refuted_at < self.config.probe_interval_us:
                 return
-        elif row.state != ALIVE:
-            self._worse()  # somebody missed us: we may be slow
+        elif record.state != ALIVE:
+            self._degrade_health()  # another member missed an answer: this process may be slow
         self.refuted_at = now
-        self.member_table.renew(replace(me, incarnation=row.incarnation + 1))
-        self._rumour(me.name)
-        if row.state != ALIVE:
-            self._change(me.name, "self", f"was said to be {STATES[row.state]}; contradicted")
-
-    # ------------------------------------------------------------ tables compared
-
-    def _compare(self, now: int, member: Member) -> None:
-        if now - self.compared >= self.terms.period:
-            self.compared = now
-            self._send(member.record, TableDigests(list(self.member_table.parts)))
-
-    def _answer_compare(self, member: Member, message: TableDigests) -> None:
-        rows, room = [], ROWS_ROOM
-        differing = self.member_table.differing(list(message.parts))
-        for row in self.rng.sample(differing, len(differing)):
-            room -= size(row)
+        self.member_table.update_self(replace(me, incarnation=record.incarnation + 1))
+        self._queue_rumour(me.name)
+        if record.state != ALIVE:
+            self._record_change(me.name, "self", f"was reported {STATES[record.state]}; refuted")
+
+    # ------------------------------------------------------------ table comparison
+
+    def _send_digests(self, now: int, member: Member) -> None:
+        if now - self.compared_at >= self.config.probe_interval_us:
+            self.compared_at = now
+            self._send(member.record, TableDigests(list(self.member_table.bucket_digests)))
+
+    def _handle_digests(self, member: Member, message: TableDigests) -> None:
+        records, room = [], MAX_RECORDS_BYTES
+        differing = self.member_table.differing_records(list(message.digests))
+        for record in self.rng.sample(differing, len(differing)):
+            room -= encoded_size(record)
             if room < 0:
                 break
-            rows.append(row)
-        if rows:
-            self._send(member.record, Gossip(rows))
+            records.append(record)
+        if records:
+            self._send(member.record, Gossip(records))
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ leaving
 
     def leave(self, now: int) -> None:
-        """Says good-bye: to a few, more than once, as nobody answers."""
-        row = replace(self.self_record, state=LEFT)
+        """Announces that this process leaves, to several members, as the announcement is not acknowledged."""
+        record = replace(self.self_record, state=LEFT)
         others = self.member_table.live_members()
-        for member in self.rng.sample(others, min(2 * HELPERS, len(others))):
-            self._send(member.record, Gossip([row]))
+        for member in self.rng.sample(others, min(2 * INDIRECT_PROBES, len(others))):
+            self._send(member.record, Gossip([record]))
         self.left = True
 
-    def _send(self, row: MemberRecord, message: Message) -> None:
-        self._emit(row.host, row.port, row.session, message)
+    def _send(self, record: MemberRecord, message: Message) -> None:
+        self._emit(record.host, record.port, record.session, message)
 
     def _emit(self, host: str, port: int, to: int, message: Message) -> None:
-        self.out.append(Out(host, port, to, message))
+        self.outbox.append(OutgoingMessage(host, port, to, message))
 
-    def _change(self, name: str, state: str, cause: str) -> None:
+    def _record_change(self, name: str, state: str, cause: str) -> None:
         self.changes.append(MemberChange(name, state, cause))
--- a/slatehub/fleet/messages.py
+++ b/slatehub/fleet/messages.py
@@ -1,7 +1,7 @@
-"""What proxies say to each other, as typed messages in MessagePack. It owns their form and the bounds of every value.
-It must never let a value through that the machines behind it would have to doubt: what is out of bounds is no message.
+"""The messages between proxies, as typed MessagePack structs. Defines their form and the bounds of every value: a
+message with a value out of bounds is rejected as a whole, so that the code behind need not check again.
 
-Formats of version 1. A field is only ever added at the end, with a default: an older proxy reads past it."""
+Formats of version 1. A field is only ever added at the end, with a default: an older proxy ignores it."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 from .datagrams import MAX_BODY_BYTES
 
-NAME_LONG = 64
+MAX_NAME_LENGTH = 64
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-U64 = Annotated[int, Meta(ge=0)]  # MessagePack has none above 2**64 - 1
+U64 = Annotated[int, Meta(ge=0)]  # MessagePack cannot encode integers above 2**64 - 1
 U32 = Annotated[int, Meta(ge=0, lt=2**32)]
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_LONG)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Figure = Annotated[int, Meta(ge=0, le=10**12)]  # thousandths
-NODES_MOST = 24  # in one message: as many as fit
-POST_MOST = MAX_BODY_BYTES - NAME_LONG - 16  # bytes, beside the sender's name
-BUCKETS = 16  # parts in which two tables are compared
+MAX_NODES = 24  # nodes in one message: as many as fit
+MAX_PAYLOAD_BYTES = MAX_BODY_BYTES - MAX_NAME_LENGTH - 16  # bytes, beside the sender's name
+DIGEST_BUCKETS = 16  # buckets by which two member tables are compared
 
 
 class MessageError(ValueError):
-    """Not a message of ours."""
+    """The body is not a valid message."""
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is held of one member. `incarnation` only grows: the higher one is right, and of two alike the graver state.
-    Only the member itself raises it, to contradict what is said of it; a new start begins at the clock's milliseconds.
-    `suspected_by`: who suspects it, as two who do so by themselves count for more than one whose word went round."""
+    """The record of one member. `incarnation` only grows: the higher one is valid, and of two equal ones the graver
+    state. Only the member itself raises it, to refute a record; a new process starts at the clock's milliseconds.
+    `suspected_by`: the member that suspects it, as two independent suspicions count for more than one that was
+    forwarded."""
 
     name: Name
     host: Annotated[str, Meta(min_length=2, max_length=45)]
@@ -39,75 +40,87 @@
     session: U64
     incarnation: U64
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    suspected_by: Annotated[str, Meta(max_length=NAME_LONG)] = ""
+    suspected_by: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True, tag=0):
-    """Here I am; answered by the same, which tells the sender our session."""
+    """Announces the sender; answered by a Join, which gives the sender the receiver's session."""
 
-    row: MemberRecord
+    record: MemberRecord
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """A probe; answered by an Ack with the same number."""
+
     number: U32
-    table: U64  # hash of what the sender holds
-    rows: list[MemberRecord]
+    table: U64  # digest of the sender's member table
+    records: list[MemberRecord]
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """The answer to a Ping, or the relayed answer to a PingRequest."""
+
     number: U32
     table: U64
-    rows: list[MemberRecord]
+    records: list[MemberRecord]
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Please ping this member for me, and tell me Ack or, once that is late, Nack."""
+    """Asks the receiver to ping `target` and to answer with Ack, or with Nack if `target` is late."""
 
     number: U32
     target: Name
-    rows: list[MemberRecord]
+    records: list[MemberRecord]
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """The answer to a PingRequest whose target has not answered in time."""
+
     number: U32
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    rows: list[MemberRecord]
+    """Records of members, without an answer."""
+
+    records: list[MemberRecord]
 
 
 class TableDigests(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Hashes of the parts of the sender's table; answered by Gossip with what differs."""
+    """Digests of the buckets of the sender's table; answered by Gossip with the records of differing buckets."""
 
-    parts: Annotated[list[U32], Meta(min_length=BUCKETS, max_length=BUCKETS)]
+    digests: Annotated[list[U32], Meta(min_length=DIGEST_BUCKETS, max_length=DIGEST_BUCKETS)]
 
 
 class LoadAggregate(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """What a part of the fleet carries together. Going up: of the sender and those who told it; coming down: of all.
-    `members`: how many proxies are in it; `age_ms`: of its oldest part; `turn`: coming down, the root's; going up,
-    whether it cannot wait. Figures are thousandths: `plain` and `classes` as `decisions.fleet.load` orders them;
-    `nodes`: a node's number, calls out there, proxies that use it, calls that failed and that were served of late."""
-
-    down: bool
-    turn: U32
+    """The summed load of a part of the fleet. Upward: of the sender and its subtree; downward: of the whole fleet.
+    `members`: proxies in the sum; `age_ms`: age of its oldest part; `round`: downward, the root's round number; upward,
+    nonzero if the sum is urgent. Figures are thousandths: `totals` and `classes` in the order of
+    `decisions.fleet.load`; `nodes`: a node's number, calls in flight to it, proxies that use it, its calls that failed
+    recently and those served recently."""
+
+    downward: bool
+    round: U32
     members: Annotated[int, Meta(ge=1, le=65535)]
     age_ms: Annotated[int, Meta(ge=0, le=60_000)]
-    plain: Annotated[list[Figure], Meta(max_length=16)]
+    totals: Annotated[list[Figure], Meta(max_length=16)]
     classes: Annotated[list[Figure], Meta(max_length=32)]
-    nodes: Annotated[list[tuple[U64, Figure, Figure, Figure, Figure]], Meta(max_length=NODES_MOST)]
+    nodes: Annotated[list[tuple[U64, Figure, Figure, Figure, Figure]], Meta(max_length=MAX_NODES)]
 
 
 class Payload(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """What another part of the program has to say to the same part of another proxy. Who has no such part drops it."""
+    """A message of another subsystem to the same subsystem of another proxy. A receiver without a handler for the
+    topic drops it."""
 
     topic: Annotated[int, Meta(ge=0, lt=256)]
-    body: Annotated[bytes, Meta(max_length=POST_MOST)]
+    body: Annotated[bytes, Meta(max_length=MAX_PAYLOAD_BYTES)]
 
 
 Message = Join | Ping | Ack | PingRequest | Nack | Gossip | TableDigests | LoadAggregate | Payload
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
+    """A message with the name of its sender."""
+
     sender: Name
     message: Message
 
@@ -117,35 +130,36 @@
 
 
 def pack(sender: str, message: Message) -> bytes:
+    """Encodes a message."""
     return _encoder.encode(Envelope(sender, message))
 
 
 def unpack(body: bytes) -> Envelope:
-    """MessageError where it is none, or names what cannot be."""
+    """Decodes a body. Raises MessageError if it is no valid message, or holds an invalid address or name."""
     try:
-        letter = _decoder.decode(body)
-        _sound(letter)
+        envelope = _decoder.decode(body)
+        _validate(envelope)
     except (msgspec.DecodeError, ValueError, RecursionError) as problem:  # ValidationError is a DecodeError
         raise MessageError(str(problem)[:200]) from None
-    return letter
+    return envelope
 
 
-def _sound(letter: Envelope) -> None:
-    message = letter.message
-    rows = [message.row] if isinstance(message, Join) else getattr(message, "rows", [])
-    for row in rows:
-        ip_address(row.host)
-    names = [letter.sender, *(row.name for row in rows)]
+def _validate(envelope: Envelope) -> None:
+    message = envelope.message
+    records = [message.record] if isinstance(message, Join) else getattr(message, "records", [])
+    for record in records:
+        ip_address(record.host)
+    names = [envelope.sender, *(record.name for record in records)]
     if isinstance(message, PingRequest):
         names.append(message.target)
     if not all(name.isprintable() for name in names):
-        raise ValueError("a name that does not print")
+        raise ValueError("a name has unprintable characters")
 
 
-def size(row: MemberRecord) -> int:
-    """Bytes that it takes in a message."""
-    return len(_encoder.encode(row))
+def encoded_size(record: MemberRecord) -> int:
+    """Bytes that the record takes in a message."""
+    return len(_encoder.encode(record))
 
 
-RESERVE = 140  # bytes of a message beside its rows, at the longest
-ROWS_ROOM = MAX_BODY_BYTES - RESERVE
+ENVELOPE_RESERVE_BYTES = 140  # the most that a message takes besides its records
+MAX_RECORDS_BYTES = MAX_BODY_BYTES - ENVELOPE_RESERVE_BYTES
--- a/slatehub/handover/__init__.py
+++ b/slatehub/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes as one proxy, while one takes over from the other. It may not know the operators' address."""
+"""Hot restart: a new process of a proxy takes over from the running one. Must not import the operators' API."""
--- a/slatehub/handover/hot_restart.py
+++ b/slatehub/handover/hot_restart.py
@@ -1,6 +1,6 @@
-"""One process of a proxy takes over from another: who is there, who holds the door, what goes along. It owns the Unix
-socket in $TMPDIR and the link to the other process. It must never say that the old one may rest before the new one
-serves, never leave the door to nobody, and never trust that a process lives but by its answer."""
+"""Hot restart: a new process finds the running one, takes over its listener and its state. Manages the Unix socket in
+$TMPDIR and the link to the other process. The old process stops accepting only once the new one serves, and accepts
+again if the new one ends, so that one of them always accepts. A process counts as alive only while it answers."""
 
 from __future__ import annotations
 
@@ -18,105 +18,111 @@
 from .messages import VERSION, MessageDecoder, MessageError, pack
 from .paths import shared_path
 
-HELLO_S = 1.5  # for the old process to answer a new one; its loop may be busy
-ACK_S = 0.5  # for the other process to do what an operator asks: a caller waits 1 s
-MOST_GREETED = 4  # processes that have connected and not yet said what they are
-LONGEST_PATH = 100  # of a Unix socket, by the system
+HANDSHAKE_TIMEOUT_S = 1.5  # for the old process to answer; its event loop may be busy
+OPERATION_TIMEOUT_S = 0.5  # for the other process to apply an operation; an operator's call waits 1 s
+MAX_PENDING_HANDSHAKES = 4  # connections that have not yet completed the handshake
+MAX_SOCKET_PATH_LENGTH = 100  # of a Unix socket's path; the system's limit is a little above
 
 
 class RestartHandler(Protocol):
-    """The process, as its successor or predecessor sees it."""
+    """What the process provides to its successor or predecessor."""
 
     def export_state(self) -> Tree:
-        """What goes along: JSON."""
+        """The state for the successor, as a JSON object."""
 
     def get_listener(self, listen: Any) -> Any:
-        """The callers' listener, if it is the one for this address; else None."""
+        """The callers' listener if it is bound to this address; else None."""
 
-    def apply_operation(self, tree: Tree) -> int:
-        """An operator's call that the other process has been given: the HTTP status."""
+    def apply_operation(self, message: Tree) -> int:
+        """Applies an operation that the other process received from an operator; returns the HTTP status."""
 
     def suspend(self) -> None:
-        """The successor has the door."""
+        """Stops accepting: the successor has the listener."""
 
     def resume(self) -> None:
-        """There is no successor any more."""
+        """Accepts again: the successor has ended."""
 
     def set_shared(self, linked: bool) -> None:
-        """Whether another process lives: what one proxy may hold is shared with it."""
+        """Sets whether another process is connected, with which the proxy's resource limits are then shared."""
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What a predecessor gave: its listener (None: listen for yourself) and what it holds."""
+    """What a predecessor handed over: its listener (None: the process opens its own) and its state."""
 
     listener: Any = None
     state: Tree = field(default_factory=dict)
 
 
 class HotRestart:
-    def __init__(self, name: str, listen: Any, body: RestartHandler) -> None:
-        self.name, self.listen, self.handler = name, list(listen), body
+    """The hot restart of one process: first as the successor of a running one, then as a predecessor."""
+
+    def __init__(self, name: str, listen: Any, handler: RestartHandler) -> None:
+        self.name, self.listen, self.handler = name, list(listen), handler
         self.path = shared_path(name, "sock")
-        self.predecessor: ProcessLink | None = None  # to the process that was there
-        self.successor: ProcessLink | None = None  # to the one that takes over
+        self.predecessor: ProcessLink | None = None  # link to the older process
+        self.successor: ProcessLink | None = None  # link to the newer process
         self.suspended = False
-        self.greeted = 0
+        self.pending_handshakes = 0
         self.sock: Any = None
         self.greenlet: Any = None
 
     @property
     def is_connected(self) -> bool:
+        """Whether another process of this proxy is connected."""
         return self.predecessor is not None or self.successor is not None
 
     # ------------------------------------------------------------ the new process
 
     def connect_to_predecessor(self) -> InheritedState | None:
-        """Asks a process that is already there; None where there is none that answers."""
+        """Connects to a running process; None if there is none that answers."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            with gevent.Timeout(HELLO_S):
-                sock.connect(_short(self.path))
+            with gevent.Timeout(HANDSHAKE_TIMEOUT_S):
+                sock.connect(_bindable_path(self.path))
                 sock.sendall(pack({"version": VERSION, "name": self.name, "listen": self.listen}))
                 _, fds, _, _ = socket.recv_fds(sock, 1, 1)
-                estate = InheritedState(socket.socket(fileno=fds[0]) if fds else None)
-                words = MessageDecoder()
-                trees = _first(sock, words)
+                inherited = InheritedState(socket.socket(fileno=fds[0]) if fds else None)
+                decoder = MessageDecoder()
+                messages = _receive_first(sock, decoder)
         except (OSError, MessageError, gevent.Timeout) as problem:
             sock.close()
             if not isinstance(problem, FileNotFoundError | ConnectionRefusedError):
-                log_event("handover", f"the process that is there does not answer: {problem}", "warning")
+                log_event("handover", f"the running process does not answer: {problem}", "warning")
             return None
-        estate.state = trees[0]
-        self.predecessor = ProcessLink(sock, words, trees[1:], self._heard, self._ended)
+        inherited.state = messages[0]
+        self.predecessor = ProcessLink(
+            sock, decoder, messages[1:], self._handle_request, self._on_link_closed
+        )
         self.handler.set_shared(True)
-        log_event("handover", "takes over from the process that is there")
-        return estate
+        log_event("handover", "takes over from the running process")
+        return inherited
 
     def announce_serving(self) -> None:
-        """This process serves: the old one may let its door rest, and the next one will find this one."""
-        if self.predecessor and self.predecessor.request({"serving": True}, HELLO_S) is None:
-            log_event("handover", "the process that was there did not hear that this one serves", "warning")
+        """Tells the predecessor that this process serves, so that it stops accepting; then listens for a successor."""
+        if self.predecessor and self.predecessor.request({"serving": True}, HANDSHAKE_TIMEOUT_S) is None:
+            log_event("handover", "the old process has not confirmed that this one serves", "warning")
         self._listen()
 
     def _listen(self) -> None:
-        """At a name of its own first, then in the place of the old one: nobody finds half a socket."""
-        own = self.path.with_suffix(f".{os.getpid()}")
+        """Binds under a temporary name, then renames it over the old socket: no process finds a socket that does not
+        listen yet."""
+        temporary = self.path.with_suffix(f".{os.getpid()}")
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            own.unlink(missing_ok=True)
-            sock.bind(_short(own))
+            temporary.unlink(missing_ok=True)
+            sock.bind(_bindable_path(temporary))
             sock.listen(4)
-            os.replace(own, self.path)
+            os.replace(temporary, self.path)
         except OSError as problem:
-            log_event("handover", f"a next process will not find this one: {problem}", "error")
+            log_event("handover", f"cannot listen for a successor: {problem}", "error")
             sock.close()
             return
-        self._hang_up()
+        self._close_listener()
         self.sock = sock
         self.greenlet = gevent.spawn(self._accept, sock)
 
-    def _hang_up(self) -> None:
+    def _close_listener(self) -> None:
         if self.sock:
             self.greenlet.kill()
             self.sock.close()
@@ -133,53 +139,53 @@
                     return
                 gevent.sleep(0.05)
                 continue
-            if self.successor or self.greeted >= MOST_GREETED:
-                peer.close()  # one at a time
+            if self.successor or self.pending_handshakes >= MAX_PENDING_HANDSHAKES:
+                peer.close()  # one successor at a time
                 continue
-            self.greeted += 1
-            gevent.spawn(self._greet, peer)
+            self.pending_handshakes += 1
+            gevent.spawn(self._handshake, peer)
 
-    def _greet(self, peer: Any) -> None:
-        """In a greenlet of its own: one that connects and says nothing must not keep the next process waiting."""
+    def _handshake(self, peer: Any) -> None:
+        """Runs in a greenlet of its own: a silent connection must not block the next process."""
         try:
-            self._give(peer)
+            self._hand_over(peer)
         except (OSError, MessageError, gevent.Timeout) as problem:
-            log_event("handover", f"a process that wants to take over: {problem}", "warning")
+            log_event("handover", f"handing over to a new process failed: {problem}", "warning")
             peer.close()
         finally:
-            self.greeted -= 1
+            self.pending_handshakes -= 1
 
-    def _give(self, peer: Any) -> None:
-        words = MessageDecoder()
-        with gevent.Timeout(HELLO_S):
-            trees = _first(peer, words)
-            hello = trees[0]
+    def _hand_over(self, peer: Any) -> None:
+        decoder = MessageDecoder()
+        with gevent.Timeout(HANDSHAKE_TIMEOUT_S):
+            messages = _receive_first(peer, decoder)
+            hello = messages[0]
             if hello.get("version") != VERSION or hello.get("name") != self.name:
-                raise MessageError("of another version or name")
+                raise MessageError("different protocol version or proxy name")
             if self.successor:
-                raise MessageError("another one takes over already")
-            door = self.handler.get_listener(hello.get("listen"))
-            if door is None:
+                raise MessageError("another process is already taking over")
+            listener = self.handler.get_listener(hello.get("listen"))
+            if listener is None:
                 peer.sendall(b"N")
             else:
-                socket.send_fds(peer, [b"L"], [door.fileno()])
-            # From here on the other one hears of every call: what it holds must be what was true when the link opened.
+                socket.send_fds(peer, [b"L"], [listener.fileno()])
+            # From here on every operation is forwarded, so the state must be the one at the time the link opens.
             peer.sendall(pack(self.handler.export_state()))
-        self.successor = ProcessLink(peer, words, trees[1:], self._heard, self._ended)
+        self.successor = ProcessLink(peer, decoder, messages[1:], self._handle_request, self._on_link_closed)
         self.handler.set_shared(True)
         log_event("handover", "a new process takes over")
 
     # ------------------------------------------------------------ both
 
-    def _heard(self, tree: Tree) -> Tree:
-        if tree.get("serving") is True and self.successor:
+    def _handle_request(self, message: Tree) -> Tree:
+        if message.get("serving") is True and self.successor:
             self.suspended = True
             self.handler.suspend()
-            self._hang_up()
+            self._close_listener()
             return {"ok": True}
-        return {"status": self.handler.apply_operation(tree)}
+        return {"status": self.handler.apply_operation(message)}
 
-    def _ended(self, link: ProcessLink) -> None:
+    def _on_link_closed(self, link: ProcessLink) -> None:
         if link is self.predecessor:
             self.predecessor = None
             log_event("handover", "the old process has gone")
@@ -193,32 +199,36 @@
         if not self.is_connected:
             self.handler.set_shared(False)
 
-    def forward_operation(self, tree: Tree) -> bool:
-        """Whether the other process, where there is one, has done it too. One that does not know a node that is put
-        back has nothing to do."""
+    def forward_operation(self, message: Tree) -> bool:
+        """Whether the other process, if there is one, has applied the operation too. A 4xx answer counts: a process
+        that does not know the node has nothing to apply."""
         for link in (self.predecessor, self.successor):
-            reply = link.request(tree, ACK_S) if link else None
+            reply = link.request(message, OPERATION_TIMEOUT_S) if link else None
             status = reply.get("status") if reply else None
             if link and link.open and not (isinstance(status, int) and 200 <= status < 500):
                 return False
         return True
 
 
-def _first(sock: Any, words: MessageDecoder) -> list[Tree]:
-    """What the other side says first. OSError and MessageError as usual."""
+def _receive_first(sock: Any, decoder: MessageDecoder) -> list[Tree]:
+    """Reads the first messages. Raises OSError, and MessageError if the peer closes the connection before."""
     while data := sock.recv(65536):
-        if trees := words.feed(data):
-            return trees
-    raise MessageError("it has gone without a word")
+        if messages := decoder.feed(data):
+            return messages
+    raise MessageError("the connection closed before the first message")
 
 
-def _short(path: Path) -> str:
-    """A name for the socket that the system takes, however deep the folder lies: through a descriptor of the folder,
-    which the process then keeps."""
+def _bindable_path(path: Path) -> str:
+    """A path to the socket within the system's length limit: a long one goes through a descriptor of its directory,
+    which the process keeps open."""
     text = str(path)
-    return text if len(text) <= LONGEST_PATH else f"/proc/self/fd/{_folder(str(path.parent))}/{path.name}"
+    return (
+        text
+        if len(text) <= MAX_SOCKET_PATH_LENGTH
+        else f"/proc/self/fd/{_directory_fd(str(path.parent))}/{path.name}"
+    )
 
 
 @cache
-def _folder(path: str) -> int:
+def _directory_fd(path: str) -> int:
     return os.open(path, os.O_RDONLY | os.O_DIRECTORY)
--- a/slatehub/handover/link.py
+++ b/slatehub/handover/link.py
@@ -1,5 +1,5 @@
-"""The connection between two processes of one proxy: questions and answers in both directions. It owns the socket. It
-must never wait without a limit, and never leave a question open when the other side has gone."""
+"""The connection between two processes of one proxy: requests and replies in both directions over one socket. Every
+wait has a limit, and every pending request ends when the connection closes."""
 
 from __future__ import annotations
 
@@ -17,55 +17,55 @@
 
 
 class ProcessLink:
-    """`heard` answers a question; `ended` is rung once, when the other side has gone or talks nonsense. `early`: what
-    came with the first words."""
+    """`on_request` answers a request; `on_closed` is called once, when the connection has closed or the peer violates
+    the protocol. `early`: messages received with the handshake."""
 
     def __init__(
         self,
         sock: Any,
-        words: MessageDecoder,
+        decoder: MessageDecoder,
         early: list[Tree],
-        heard: Callable[[Tree], Tree],
-        ended: Callable[[ProcessLink], None],
+        on_request: Callable[[Tree], Tree],
+        on_closed: Callable[[ProcessLink], None],
     ) -> None:
         self.sock = sock
-        self.words = words
-        self.on_request = heard
-        self.on_closed = ended
+        self.decoder = decoder
+        self.on_request = on_request
+        self.on_closed = on_closed
         self.open = True
-        self.last = 0
-        self.asked: dict[int, AsyncResult[Tree | None]] = {}
-        self.turn = BoundedSemaphore()  # two lines at once would mix
+        self.last_number = 0
+        self.pending: dict[int, AsyncResult[Tree | None]] = {}
+        self.send_lock = BoundedSemaphore()  # concurrent writes would interleave
         self.greenlet = gevent.spawn(self._read, early)
 
-    def request(self, tree: Tree, limit_s: float) -> Tree | None:
-        """What the other side answers; None where it does not in time, or has gone."""
+    def request(self, message: Tree, limit_s: float) -> Tree | None:
+        """Sends a request and returns the reply; None if there is none within `limit_s` or the connection closes."""
         if not self.open:
             return None
-        self.last += 1
-        number = self.last
+        self.last_number += 1
+        number = self.last_number
         result: AsyncResult[Tree | None] = AsyncResult()
-        self.asked[number] = result
+        self.pending[number] = result
         try:
             with gevent.Timeout(limit_s):
-                self._send(tree | {"n": number})
+                self._send(message | {"n": number})
                 return result.get()
         except (gevent.Timeout, OSError):
             return None
         finally:
-            self.asked.pop(number, None)
+            self.pending.pop(number, None)
 
-    def _send(self, tree: Tree) -> None:
-        with self.turn:
-            self.sock.sendall(pack(tree))
+    def _send(self, message: Tree) -> None:
+        with self.send_lock:
+            self.sock.sendall(pack(message))
 
     def _read(self, early: list[Tree]) -> None:
         try:
-            self._take(early)
+            self._dispatch(early)
             while data := self.sock.recv(65536):
-                self._take(self.words.feed(data))
+                self._dispatch(self.decoder.feed(data))
         except (OSError, MessageError) as problem:
-            log_event("handover", f"the other process: {problem}", "warning")
+            log_event("handover", f"link to the other process: {problem}", "warning")
         except Exception as problem:
             log_event(
                 "fault",
@@ -76,33 +76,34 @@
         finally:
             self.close()
 
-    def _take(self, trees: list[Tree]) -> None:
-        for tree in trees:
-            if "re" in tree:
-                number = tree["re"]
-                if isinstance(number, int) and (result := self.asked.get(number)):
-                    result.set(tree)
+    def _dispatch(self, messages: list[Tree]) -> None:
+        for message in messages:
+            if "re" in message:
+                number = message["re"]
+                if isinstance(number, int) and (result := self.pending.get(number)):
+                    result.set(message)
             else:
-                gevent.spawn(self._answer, tree)
+                gevent.spawn(self._answer, message)
 
-    def _answer(self, tree: Tree) -> None:
+    def _answer(self, message: Tree) -> None:
         try:
-            reply = self.on_request(tree)
-        except Exception as problem:  # the other side is owed an answer: a caller waits for it
+            reply = self.on_request(message)
+        except Exception as problem:  # the peer waits for a reply, and an operator for the peer
             log_event(
-                "handover", f"a call from the other process: {type(problem).__name__}: {problem}", "error"
+                "handover", f"request from the other process: {type(problem).__name__}: {problem}", "error"
             )
             reply = {"status": 500}
         try:
-            self._send(reply | {"re": tree.get("n")})
+            self._send(reply | {"re": message.get("n")})
         except OSError:
             self.close()
 
     def close(self) -> None:
+        """Closes the connection and ends pending requests without a reply."""
         if not self.open:
             return
         self.open = False
-        for result in self.asked.values():
+        for result in self.pending.values():
             result.set(None)
         if self.greenlet is not gevent.getcurrent():
             self.greenlet.kill(block=False)
--- a/slatehub/handover/messages.py
+++ b/slatehub/handover/messages.py
@@ -1,5 +1,5 @@
-"""What two processes of one proxy say to each other: JSON objects, one a line. Pure. It must never take in more than
-its bound, and never let anything but an object through."""
+"""The messages between two processes of one proxy: JSON objects, one a line. Does no I/O. The decoder buffers a bounded
+number of bytes and accepts nothing but objects."""
 
 from __future__ import annotations
 
@@ -7,38 +7,39 @@
 from typing import Any
 
 VERSION = 1
-MAX_LINE_BYTES = 2 * 1024 * 1024  # a line: every id that may be out by hand, at its longest
+MAX_LINE_BYTES = 2 * 1024 * 1024  # fits as many node ids as may be in maintenance, each at its longest
 
 
 class MessageError(Exception):
-    """The other side does not speak this."""
+    """The peer violates the protocol."""
 
 
-def pack(tree: dict[str, Any]) -> bytes:
-    return json.dumps(tree, separators=(",", ":")).encode() + b"\n"
+def pack(message: dict[str, Any]) -> bytes:
+    """Encodes a message as one line."""
+    return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
 class MessageDecoder:
-    """Cuts what comes into objects."""
+    """Splits the received bytes into objects."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that are whole now. MessageError."""
+        """Adds bytes and returns the objects completed by them. Raises MessageError."""
         self.data += data
         if len(self.data) > MAX_LINE_BYTES:
-            raise MessageError("too long")
+            raise MessageError("message too long")
         *lines, rest = bytes(self.data).split(b"\n") if b"\n" in data else [bytes(self.data)]
         self.data = bytearray(rest)
-        return [_tree(line) for line in lines]
+        return [_parse_line(line) for line in lines]
 
 
-def _tree(line: bytes) -> dict[str, Any]:
+def _parse_line(line: bytes) -> dict[str, Any]:
     try:
-        tree = json.loads(line)
+        message = json.loads(line)
     except (ValueError, RecursionError):
-        raise MessageError("not JSON") from None
-    if not isinstance(tree, dict):
-        raise MessageError("not an object")
-    return tree
+        raise MessageError("message is not JSON") from None
+    if not isinstance(message, dict):
+        raise MessageError("message is not a JSON object")
+    return message
--- a/slatehub/handover/paths.py
+++ b/slatehub/handover/paths.py
@@ -1,4 +1,4 @@
-"""Where processes of one proxy find what they share. It must never open anything."""
+"""The paths of files that the processes of one proxy share. Opens no file."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def shared_path(name: str, kind: str) -> Path:
-    """The file of this kind of the proxy of this name, in $TMPDIR. The name is the platform's; it may hold anything."""
-    mark = hashlib.blake2b(name.encode(), digest_size=6).hexdigest()
-    return Path(tempfile.gettempdir()) / f"slatehub-{mark}.{kind}"
+    """The path of the named proxy's file of this kind, in $TMPDIR. The name is hashed, as it comes from the platform
+    and may hold any character."""
+    digest = hashlib.blake2b(name.encode(), digest_size=6).hexdigest()
+    return Path(tempfile.gettempdir()) / f"slatehub-{digest}.{kind}"
--- a/slatehub/mgmt/__init__.py
+++ b/slatehub/mgmt/__init__.py
@@ -1,2 +1,2 @@
-"""The operators' address: calls by which staff run this proxy day by day. It may use the reader of callers' requests;
-nothing but the command line may know it."""
+"""The operators' HTTP API for the daily operation of this proxy. May import the parser of callers' requests; only the
+command line may import this package."""
--- a/slatehub/mgmt/operations.py
+++ b/slatehub/mgmt/operations.py
@@ -1,5 +1,5 @@
-"""What each operator's call does to this proxy. It owns the order: first done, then kept for the next process, then
-yes. It must never say yes to what may still be undone."""
+"""The effect of each operator's call on this proxy. A change is first applied, then stored for the next process, and
+only then confirmed; it is never confirmed while it may still be lost."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class NodeMaintenance(Protocol):
+    """The nodes, as far as maintenance concerns them."""
+
     def start_maintenance(self, ident: str) -> bool: ...
 
     def end_maintenance(self, ident: str) -> bool: ...
@@ -23,6 +25,8 @@
 
 
 class ClientListener(Protocol):
+    """The listener for callers, which can be drained."""
+
     @property
     def serving(self) -> bool: ...
 
@@ -32,28 +36,38 @@
 
 
 class Operations:
-    """Carries out calls; a call is done when its reply is returned. `tell`: whether the other process of this proxy,
-    where there is one, has done it too. `fleet`: what is known of the other proxies, `copies`: of the group of voters;
-    None: there is none."""
+    """Carries out calls; a call is done when its response is returned.
+
+    `forward`: forwards a call to the other process of this proxy, if there is one, and returns whether that has applied
+    it. `fleet_status`, `copies_status`: the status of the fleet and of the voter group, None if there is none.
+    `change_voters`: starts a change of the voters; returns None without a group, an empty text if it has begun, else
+    the reason against it. `propose_maintenance`: has a majority store a node's maintenance; None or the reason why it
+    failed."""
 
     def __init__(
-        self, by_hand: Maintenance, state: StateFile, nodes: NodeMaintenance, door: ClientListener,
-        tell: Callable[[dict[str, Any]], bool],
-        fleet: Callable[[], dict[str, Any] | None] = lambda: None,
-        copies: Callable[[], dict[str, Any] | None] = lambda: None,
-        voters: Callable[[str, str, str], str | None] = lambda what, name, new: None,
-        for_all: Callable[[str, bool], str | None] = lambda ident, out: None,
+        self, maintenance: Maintenance, state: StateFile, nodes: NodeMaintenance, client_listener: ClientListener,
+        forward: Callable[[dict[str, Any]], bool],
+        fleet_status: Callable[[], dict[str, Any] | None] = lambda: None,
+        copies_status: Callable[[], dict[str, Any] | None] = lambda: None,
+        change_voters: Callable[[str, str, str], str | None] = lambda what, name, new: None,
+        propose_maintenance: Callable[[str, bool], str | None] = lambda ident, starting: None,
     ) -> None:  # fmt: skip
-        self.fleet, self.copies, self.voters, self.for_all = fleet, copies, voters, for_all
-        self.maintenance, self.state, self.nodes, self.client_listener, self.tell = (
-            by_hand,
+        self.fleet_status, self.copies_status, self.change_voters, self.propose_maintenance = (
+            fleet_status,
+            copies_status,
+            change_voters,
+            propose_maintenance,
+        )
+        self.maintenance, self.state, self.nodes, self.client_listener, self.forward = (
+            maintenance,
             state,
             nodes,
-            door,
-            tell,
+            client_listener,
+            forward,
         )
 
     def __call__(self, call: AdminRequest) -> AdminResponse:
+        """Carries out a call and returns the response to it."""
         if call.operation == HEALTH:
             return (
                 AdminResponse(200, "serving")
@@ -61,60 +75,68 @@
                 else AdminResponse(503, "not serving")
             )
         if call.operation == FLEET:
-            told = self.fleet()
+            status = self.fleet_status()
             return (
-                AdminResponse(404, "not in a fleet") if told is None else AdminResponse(200, json.dumps(told))
+                AdminResponse(404, "not in a fleet")
+                if status is None
+                else AdminResponse(200, json.dumps(status))
             )
         if call.operation == COPIES:
-            told = self.copies()
-            return AdminResponse(404, "in no group") if told is None else AdminResponse(200, json.dumps(told))
+            status = self.copies_status()
+            return (
+                AdminResponse(404, "in no group")
+                if status is None
+                else AdminResponse(200, json.dumps(status))
+            )
         if call.operation == VOTERS:
-            why = self.voters(call.action, call.subject, call.replacement)
+            reason = self.change_voters(call.action, call.subject, call.replacement)
             return (
                 AdminResponse(404, "in no group")
-                if why is None
-                else AdminResponse(409, why)
-                if why
+                if reason is None
+                else AdminResponse(409, reason)
+                if reason
                 else AdminResponse(200, "begun")
             )
-        reply = self._everywhere(call) or self._here(call)
-        if reply.status < 300 and not self.tell({"call": call.operation, "ident": call.subject}):
+        response = self._apply_fleetwide(call) or self._apply_locally(call)
+        if response.status < 300 and not self.forward({"call": call.operation, "ident": call.subject}):
             return AdminResponse(503, "done here, but the other process has not answered")
-        return reply
+        return response
 
-    def _everywhere(self, call: AdminRequest) -> AdminResponse | None:
-        """Where nodes out are the fleet's: first a majority holds it. A no, or None: it is to be done here too."""
+    def _apply_fleetwide(self, call: AdminRequest) -> AdminResponse | None:
+        """Where maintenance is shared by the fleet, a majority stores it first. Returns an error response, or None if
+        the call is to be applied locally too."""
         if call.operation not in (MAINT, READY) or not (
             call.operation == READY or self.nodes.is_known(call.subject)
         ):
             return None
-        why = self.for_all(call.subject, call.operation == MAINT)
-        return AdminResponse(503, why) if why else None
+        reason = self.propose_maintenance(call.subject, call.operation == MAINT)
+        return AdminResponse(503, reason) if reason else None
 
-    def apply_operation(self, tree: dict[str, Any]) -> int:
-        """A call that the other process has been given: the status."""
-        name, ident = tree.get("call"), tree.get("ident")
+    def apply_operation(self, message: dict[str, Any]) -> int:
+        """Applies a call that the other process received; returns the HTTP status."""
+        name, ident = message.get("call"), message.get("ident")
         if name not in (MAINT, READY, FAIL, OK) or not isinstance(ident, str):
             return 400
         if name == MAINT:
-            self.nodes.start_maintenance_unlisted(ident)  # it may stand in the other's list only, so far
-        return self._here(AdminRequest(name, ident)).status
+            # So far only the other process may have the node in its list.
+            self.nodes.start_maintenance_unlisted(ident)
+        return self._apply_locally(AdminRequest(name, ident)).status
 
-    def _here(self, call: AdminRequest) -> AdminResponse:
+    def _apply_locally(self, call: AdminRequest) -> AdminResponse:
         if call.operation == FAIL:
             self.client_listener.start_drain()
             return AdminResponse(200, "drained")
         if call.operation == OK:
             self.client_listener.end_drain()
             return AdminResponse(200, "takes clients")
-        return self._node(call)
+        return self._apply_to_node(call)
 
-    def _node(self, call: AdminRequest) -> AdminResponse:
-        out = call.operation == MAINT
+    def _apply_to_node(self, call: AdminRequest) -> AdminResponse:
+        starting = call.operation == MAINT
         try:
             known = (
                 self.nodes.start_maintenance(call.subject)
-                if out
+                if starting
                 else self.nodes.end_maintenance(call.subject)
             )
         except TooManyInMaintenance as problem:
@@ -122,4 +144,4 @@
         if not known:
             return AdminResponse(404, "nobody has this node")
         self.state.save(self.maintenance)
-        return AdminResponse(200, "out" if out else "in use")
+        return AdminResponse(200, "out" if starting else "in use")
--- a/slatehub/mgmt/server.py
+++ b/slatehub/mgmt/server.py
@@ -1,6 +1,6 @@
-"""The operators' listener: one call to a connection, each answered whatever else the proxy is doing. It owns these
-connections from opening to closing. It must never let callers who say nothing lock an operator out, never wait for one
-of them, and never say yes before the call is done."""
+"""The HTTP server of the operators' API: one call to a connection, answered whatever else the proxy is doing. Manages
+these connections from opening to closing. Silent connections cannot lock an operator out, no connection delays another,
+and success is reported only once the call is done."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from ..observe.log import error_location, log_event
 from .routes import AdminRequest, AdminResponse, route
 
-MAX_CONNECTIONS = 16  # connections at once
-BODY_MOST = 1024  # no call needs a body
-CALL_US = 8_000_000  # for a whole call
-LINGER_US = 1_000_000  # for a caller to read its answer
-LOUD = ("maint", "ready", "fail", "ok", "voters")  # said in the log; health is asked all the time
+MAX_CONNECTIONS = 16  # open at once
+MAX_BODY_BYTES = 1024  # no call needs a body
+CALL_TIMEOUT_US = 8_000_000  # for a whole call
+LINGER_US = 1_000_000  # for the operator's client to read the response
+LOGGED_OPERATIONS = ("maint", "ready", "fail", "ok", "voters")  # health is polled all the time and not logged
 
 
 class AdminServer:
-    """Carries out calls; `act` may wait, and what it raises is a no."""
+    """Serves calls; `handler` carries them out, may block its greenlet, and answers 500 where it raises."""
 
-    def __init__(self, act: Callable[[AdminRequest], AdminResponse]) -> None:
-        self.handler = act
+    def __init__(self, handler: Callable[[AdminRequest], AdminResponse]) -> None:
+        self.handler = handler
         self.listener: Any = None
         self.accept_greenlet: Any = None
         self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
 
     def open(self, listener: Any) -> None:
-        """Takes calls at this listener in place of the one before, if any; None: nowhere."""
+        """Serves at this listener in place of the former one, if any; None: stops serving."""
         self.close()
         if listener:
             self.listener = listener
@@ -44,7 +44,7 @@
             log_event("start", f"operators call at {host}:{port}")
 
     def close(self) -> None:
-        """No new calls; those that were made are still answered."""
+        """Accepts no new connections; open ones are still answered."""
         if self.listener:
             self.accept_greenlet.kill()
             self.listener.close()
@@ -66,16 +66,20 @@
             self.connections[AdminConnection(self, sock)] = None
 
     def _make_room(self) -> None:
-        """The one that has been here longest without a whole call goes; of calls at work, each ends by itself."""
-        spare = next((c for c in self.connections if not c.called), None) or next(iter(self.connections))
+        """Closes the oldest connection without a complete request, as calls in progress end by themselves; the oldest
+        of all if every call is in progress."""
+        spare = next((c for c in self.connections if not c.request_complete), None) or next(
+            iter(self.connections)
+        )
         spare.close()
 
     def answer(self, method: str, target: str) -> AdminResponse:
+        """Routes a request and carries it out; any error of the handler is logged and answered with 500."""
         call = route(method, target)
         if isinstance(call, AdminResponse):
             return call
         try:
-            reply = self.handler(call)
+            response = self.handler(call)
         except Exception as problem:
             log_event(
                 "fault",
@@ -83,24 +87,25 @@
                 "error",
                 where=error_location(problem),
             )
-            reply = AdminResponse(500, "failed")
-        if call.operation in LOUD:
-            log_event("operator", f"{call.operation}: {reply.text}", node=call.subject or None)
-        return reply
+            response = AdminResponse(500, "failed")
+        if call.operation in LOGGED_OPERATIONS:
+            log_event("operator", f"{call.operation}: {response.text}", node=call.subject or None)
+        return response
 
 
 class AdminConnection:
-    """One connection, in a greenlet of its own."""
+    """One connection, served by a greenlet of its own."""
 
-    def __init__(self, desk: AdminServer, sock: Any) -> None:
-        self.server = desk
+    def __init__(self, server: AdminServer, sock: Any) -> None:
+        self.server = server
         self.sock = sock
-        self.called = False
+        self.request_complete = False
         self.closed = False
-        self.timer = Timer(clock() + CALL_US, self.close)
+        self.timer = Timer(clock() + CALL_TIMEOUT_US, self.close)
         self.greenlet = gevent.spawn(self._serve)
 
     def close(self) -> None:
+        """Closes the connection and ends its greenlet; may be called more than once."""
         if self.closed:
             return
         self.closed = True
@@ -111,32 +116,35 @@
         self.server.connections.pop(self, None)
 
     def _serve(self) -> None:
-        taker = RequestParser(BODY_MOST)
+        parser = RequestParser(MAX_BODY_BYTES)
         try:
             item = None
             while item is None:
                 data = self.sock.recv(READ_CHUNK_BYTES)
                 if not data:
                     return
-                taker.feed(data)
-                item = taker.parsed[0] if taker.parsed else None
-            self.called = True
+                parser.feed(data)
+                item = parser.parsed[0] if parser.parsed else None
+            self.request_complete = True
             if isinstance(item, LocalResponse):
-                reply, head = AdminResponse(item.status, item.message), False
+                response, head = AdminResponse(item.status, item.message), False
             else:
-                reply, head = self.server.answer(item.method, item.target), item.method == "HEAD"
-            self._say(reply, head)
+                response, head = self.server.answer(item.method, item.target), item.method == "HEAD"
+            self._send_response(response, head)
         except OSError:
             pass
         finally:
-            taker.close()
+            parser.close()
             self.close()
 
-    def _say(self, reply: AdminResponse, head: bool) -> None:
-        """The answer, and time to read it: a close with bytes unread would reset it."""
-        body = reply.text.encode() + b"\n"
-        allow = f"Allow: {reply.allowed_method}\r\n" if reply.allowed_method else ""
-        lines = f"HTTP/1.1 {reply.status} {'OK' if reply.status < 300 else 'No'}\r\nContent-Type: text/plain\r\n{allow}"
+    def _send_response(self, response: AdminResponse, head: bool) -> None:
+        """Sends the response and lingers: a close with unread bytes would reset the connection before it is read."""
+        body = response.text.encode() + b"\n"
+        allow = f"Allow: {response.allowed_method}\r\n" if response.allowed_method else ""
+        lines = (
+            f"HTTP/1.1 {response.status} {'OK' if response.status < 300 else 'No'}\r\n"
+            f"Content-Type: text/plain\r\n{allow}"
+        )
         lines += f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         self.sock.sendall(lines.encode() + (b"" if head else body))
         self.sock.shutdown(socket.SHUT_WR)
--- a/slatehub/mgmt/state.py
+++ b/slatehub/mgmt/state.py
@@ -1,5 +1,5 @@
-"""The small file in $TMPDIR that holds what operators decided: which nodes are out, and when others were put back. It
-is written whole or not at all. It must never stop the proxy: what cannot be read or written is a line in the log."""
+"""The state file in $TMPDIR: which nodes operators have put into maintenance, and when maintenance of others ended. It
+is replaced atomically. An error in reading or writing it is logged and never stops the proxy."""
 
 from __future__ import annotations
 
@@ -12,46 +12,52 @@
 from ..observe.log import log_event
 
 VERSION = 1
-LARGEST = 2 * 1024 * 1024
+MAX_FILE_BYTES = 2 * 1024 * 1024
 
 
 class StateFile:
+    """The state file of the named proxy."""
+
     def __init__(self, name: str) -> None:
         self.path = shared_path(name, "nodes")
 
-    def load(self, into: Maintenance) -> None:
-        """Takes over what an earlier process of this name left, if anything can be made of it."""
+    def load(self, maintenance: Maintenance) -> None:
+        """Restores the maintenance state of an earlier process of this name, if the file is valid."""
         try:
-            if self.path.stat().st_size > LARGEST:
+            if self.path.stat().st_size > MAX_FILE_BYTES:
                 raise ValueError("too large")
-            tree: Any = json.loads(self.path.read_bytes())
-            if not isinstance(tree, dict) or tree.get("version") != VERSION:
-                raise ValueError("of another form")
-            out, back = tree.get("out"), tree.get("back")
+            state: Any = json.loads(self.path.read_bytes())
+            if not isinstance(state, dict) or state.get("version") != VERSION:
+                raise ValueError("unexpected structure or version")
+            out, back = state.get("out"), state.get("back")
             if not isinstance(out, dict) or not isinstance(back, dict):
-                raise ValueError("of another form")
+                raise ValueError("unexpected structure or version")
         except FileNotFoundError:
             return
         except (OSError, ValueError, RecursionError) as problem:
-            log_event("operator", f"nodes out by hand: {self.path.name} is left aside: {problem}", "error")
+            log_event("operator", f"nodes out by hand: {self.path.name} is ignored: {problem}", "error")
             return
-        into.restore(out, back)
-        if into.started_at:
+        maintenance.restore(out, back)
+        if maintenance.started_at:
             log_event(
-                "operator", f"out by hand, from an earlier process: {len(into.started_at)} nodes", "warning"
+                "operator",
+                f"out by hand, from an earlier process: {len(maintenance.started_at)} nodes",
+                "warning",
             )
 
-    def save(self, held: Maintenance) -> None:
-        """Whole or not at all. A file that cannot be written costs the next process this one's memory only if nobody
-        lives to tell it."""
-        body = json.dumps({"version": VERSION, "out": held.started_at, "back": dict(held.ended_at)})
-        new = self.path.with_suffix(f".{os.getpid()}")
+    def save(self, maintenance: Maintenance) -> None:
+        """Replaces the file atomically. If it cannot be written, the next process misses this state only when no
+        running process hands it over."""
+        body = json.dumps(
+            {"version": VERSION, "out": maintenance.started_at, "back": dict(maintenance.ended_at)}
+        )
+        temporary = self.path.with_suffix(f".{os.getpid()}")
         try:
-            new.write_text(body)
-            os.replace(new, self.path)
+            temporary.write_text(body)
+            os.replace(temporary, self.path)
         except OSError as problem:
             log_event("operator", f"nodes out by hand cannot be kept in {self.path.name}: {problem}", "error")
             try:
-                new.unlink(missing_ok=True)
+                temporary.unlink(missing_ok=True)
             except OSError:
                 pass
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -1,5 +1,5 @@
-"""Several real proxies of one tier, on loopback, that know each other through a relay whose faults a test sets. It owns
-the processes. It must never judge but by the shared audit."""
+"""Several real proxies of one tier on loopback, connected as a fleet through a relay whose faults a test sets. Manages
+the processes; results are judged by the shared audit only."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.programs: dict[str, ProxyProcess] = {}
         self.all: list[ProxyProcess] = []
         self.discoveries: list[ScriptedDiscovery] = []
-        self.callers: list[Any] = []  # whoever asks without end; ended with the rig
+        self.callers: list[Any] = []  # load generators, stopped with the rig
         self.key = tmp / "fleet.key"
         key_file.add(str(self.key), True)
 
@@ -67,11 +67,11 @@
         )
 
     def folder(self, name: str) -> Path:
-        """Where this one keeps its copies."""
+        """The folder of this proxy's replicated store."""
         return self.tmp / f"store-{name}"
 
     def kill_and_wipe(self, name: str) -> None:
-        """The machine with its disk."""
+        """Simulates the loss of a node with its disk."""
         self.kill(name)
         shutil.rmtree(self.folder(name))
 
@@ -102,7 +102,7 @@
             return found
 
     def alive_members(self, name: str) -> set[str]:
-        """Whom this one holds for alive, itself included."""
+        """The members that this proxy lists as alive, itself included."""
         return {row["name"] for row in self.fleet_status(name)["members"] if row["state"] == "alive"}
 
     def kill(self, name: str) -> None:
@@ -132,7 +132,7 @@
         for node in rig.nodes:
             node.release.set()
         for callers in rig.callers:
-            callers.stop()  # also after a test that failed: they would ask for ever, and the run never end
+            callers.stop()  # also after a failed test: they would run forever
         for program in rig.all:
             program.process.kill()
             program.process.wait()
@@ -149,12 +149,12 @@
 
 
 class LoadClients:
-    """Callers who ask the proxies that are there, in turn, without end."""
+    """Threads that send requests to the running proxies in turn until stopped."""
 
     def __init__(self, rig: FleetRig, threads: int = 3) -> None:
         self.rig, self.on, self.statuses, self.slowest = rig, True, [0, 0], 0.0
         self.unheard = 0
-        self.lock = threading.Lock()  # `order` counts its ids: two threads at once would give them out again
+        self.lock = threading.Lock()  # build_request counts its ids: concurrent threads would repeat them
         rig.callers.append(self)
         self.threads = [threading.Thread(target=self._ask, args=(i,), daemon=True) for i in range(threads)]
         for thread in self.threads:
@@ -172,12 +172,13 @@
                 status, _, _ = programs[turn % len(programs)].request(data)
                 self.statuses[status == 200] += 1
             except OSError:
-                self.unheard += 1  # its proxy was killed: it asks another one
+                self.unheard += 1  # the proxy was killed; the next request goes to another one
             self.slowest = max(self.slowest, time.monotonic() - began)
             time.sleep(0.01)
 
     def wait_until_warm(self) -> None:
-        """Until each proxy knows how long its nodes take: before that it lets hardly anybody in, in a fleet or not."""
+        """Waits until each proxy has an estimate of its nodes' service times: before that it admits very few requests,
+        in a fleet or not."""
         wait_until(lambda: self.statuses[1] > 50 * len(self.rig.programs))
         self.statuses[0] = 0
 
--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -247,7 +247,7 @@
         and other.request({"call": "ok"}, 5) is not None
     )
     other.greenlet.kill()  # it hears no more
-    assert one.request({"call": "ok"}, 0.01) is None and not one.asked
+    assert one.request({"call": "ok"}, 0.01) is None and not one.pending
     one.close()
     assert one.request({"call": "ok"}, 5) is None
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Proxies that know each other: real processes with a faulty net between them."""
+"""A fleet of real proxy processes with a faulty network between them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def status(rig: object, name: str, *more: str) -> subprocess.CompletedProcess[str]:
-    """`slatehub fleet`, as an operator would ask."""
+    """Runs `slatehub fleet` as an operator does."""
     host, port = rig.programs[name].management_address  # type: ignore[attr-defined]
     command = [sys.executable, "-B", "-m", "slatehub", "fleet", *more, "--at", f"{host}:{port}"]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
@@ -27,8 +27,10 @@
     with running_fleet(tmp_path, 5) as rig:
         everybody = set(rig.names)
         wait_until(lambda: all(rig.alive_members(name) == everybody for name in rig.names))
-        said = status(rig, "p0", "status")
-        assert said.returncode == 0 and "alive 5 (this one included), suspect 0, lost 0" in said.stdout, said
+        result = status(rig, "p0", "status")
+        assert result.returncode == 0 and "alive 5 (this one included), suspect 0, lost 0" in result.stdout, (
+            result
+        )
         callers = LoadClients(rig)
         callers.wait_until_warm()
         rig.kill("p4")
@@ -37,17 +39,17 @@
             wait_until(lambda name=name: rig.alive_members(name) == {"p0", "p1", "p2"})
         wait_until(lambda: rig.alive_members("p3") == {"p3"})
         wait_until(lambda: rig.fleet_status("p1")["lost"] == 2)  # suspected until then
-        said = status(rig, "p1", "status")
-        assert said.returncode == 1 and "alive 3 (this one included), suspect 0, lost 2" in said.stdout, said
+        result = status(rig, "p1", "status")
+        assert result.returncode == 1 and "alive 3 (this one included), suspect 0, lost 2" in result.stdout, (
+            result
+        )
         served = callers.statuses[1]
         wait_until(lambda: callers.statuses[1] > served + 50)
         rig.set_faults(lambda net: net.heal("cut"))
         for name in ("p0", "p1", "p2", "p3"):
             wait_until(lambda name=name: rig.alive_members(name) == {"p0", "p1", "p2", "p3"})
         assert not callers.statuses[0]
-        rig.start(
-            "p4"
-        )  # under its old name, from nothing: until it knows how long its nodes take it may refuse a call
+        rig.start("p4")  # same name, no state: it may refuse a call until it has an estimate of service times
         for name in rig.names:
             wait_until(lambda name=name: rig.alive_members(name) == everybody)
         callers.stop()
@@ -55,7 +57,7 @@
         assert [row.split()[:3:2] for row in rows[1:]] == [[f"p{i}", "alive"] for i in (2, 0, 1, 3, 4)]
 
 
-def test_one_that_was_frozen_neither_accuses_the_others_nor_stays_lost(tmp_path: Path) -> None:
+def test_resumed_process_declares_nobody_lost_and_recovers(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 4) as rig:
         everybody = set(rig.names)
         wait_until(lambda: all(rig.alive_members(name) == everybody for name in rig.names))
@@ -66,15 +68,19 @@
         for name in rig.names:
             wait_until(lambda name=name: rig.alive_members(name) == everybody)
         assert not [line for line in rig.programs["p2"].log if "is lost" in line]
-        assert [line for line in rig.programs["p2"].log if "; contradicted" in line]
+        assert [line for line in rig.programs["p2"].log if "; refuted" in line]
 
 
-def test_sigterm_is_a_good_bye(tmp_path: Path) -> None:
+def test_sigterm_announces_departure(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 3) as rig:
         wait_until(lambda: all(len(rig.alive_members(name)) == 3 for name in rig.names))
         rig.programs["p2"].process.send_signal(signal.SIGTERM)
         for name in ("p0", "p1"):
-            wait_until(lambda name=name: [x for x in rig.programs[name].log if "p2 is left: it said so" in x])
+            wait_until(
+                lambda name=name: [
+                    x for x in rig.programs[name].log if "p2 is left: announced by itself" in x
+                ]
+            )
         assert not [x for name in ("p0", "p1") for x in rig.programs[name].log if "is suspect" in x]
 
 
@@ -88,7 +94,7 @@
         callers = LoadClients(rig)
         callers.wait_until_warm()
         old = rig.programs["p1"]
-        rig.start("p1")  # beside the one that runs
+        rig.start("p1")  # beside the running process
         for name in ("p0", "p2"):
             wait_until(
                 lambda name=name: [x for x in rig.programs[name].log if "p1 is alive: a new process" in x]
@@ -99,12 +105,12 @@
         for name in rig.names:
             wait_until(lambda name=name: rig.alive_members(name) == everybody)
         callers.stop()
-        told = [x for name in ("p0", "p2") for x in rig.programs[name].log]
-        assert not [x for x in told if "p1 is lost" in x or "p1 is left" in x]
+        lines = [x for name in ("p0", "p2") for x in rig.programs[name].log]
+        assert not [x for x in lines if "p1 is lost" in x or "p1 is left" in x]
 
 
-class Moody(ScriptedNode):
-    """Fails all that it gets while it is told to."""
+class SwitchableNode(ScriptedNode):
+    """A node that fails every request while `bad` is set."""
 
     bad = False
 
@@ -116,13 +122,13 @@
     return [rig.fleet_status(name)["shared"][key] for name in rig.names]
 
 
-def test_a_node_that_fails_is_left_to_one_proxy_and_used_again_when_that_is_served(tmp_path: Path) -> None:
-    with running_fleet(tmp_path, 4, nodes=3, kind=Moody) as rig:
+def test_failing_node_is_probed_by_one_proxy_and_used_again_once_served(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4, nodes=3, kind=SwitchableNode) as rig:
         wait_until(lambda: shared(rig, "sum_of") == [4] * 4)
         callers = LoadClients(rig, 6)
         wait_until(lambda: callers.statuses[1] > 50 and all(shared(rig, "in_use")))
         rig.nodes[1].bad = True
-        wait_until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]  # the fourth tries it
+        wait_until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]  # the fourth proxy probes it
         rig.nodes[1].bad = False
         wait_until(lambda: sum(shared(rig, "left_to_others")) == 0)  # type: ignore[arg-type]
         seen = len(rig.nodes[1].requests)
@@ -130,7 +136,7 @@
         callers.stop()
 
 
-def test_all_links_cut_each_goes_by_itself_and_nobody_waits(tmp_path: Path) -> None:
+def test_proxies_decide_alone_when_all_links_are_cut(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 3) as rig:
         wait_until(lambda: shared(rig, "sum_of") == [3] * 3 and all(shared(rig, "in_use")))
         callers = LoadClients(rig)
@@ -146,7 +152,7 @@
         assert not callers.statuses[0]
 
 
-def test_a_flood_of_noise_and_of_records_is_dropped_and_costs_no_answer(tmp_path: Path) -> None:
+def test_flood_of_noise_is_dropped_and_costs_no_response(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 2) as rig:
         wait_until(lambda: all(len(rig.alive_members(name)) == 2 for name in rig.names))
         callers = LoadClients(rig)
@@ -161,35 +167,37 @@
         dropped = rig.fleet_status("p0")["dropped"]
         assert dropped["unknown"] + dropped["short"] + dropped["version"] + dropped["key"] > 100
         assert not callers.statuses[0]
-        wait_until(lambda: rig.alive_members("p1") == {"p0", "p1"})  # while it lasted, p0 may have been deaf
+        # During the flood p0 may have missed datagrams.
+        wait_until(lambda: rig.alive_members("p1") == {"p0", "p1"})
 
 
-def test_sighup_takes_new_keys_ends_a_membership_and_turns_a_bad_key_file_down(tmp_path: Path) -> None:
-    def renew(rig: FleetRig, name: str, own: str, line: str) -> None:
+def test_sighup_applies_new_keys_ends_membership_and_rejects_a_bad_key_file(tmp_path: Path) -> None:
+    def reload_config(rig: FleetRig, name: str, config: str, expected: str) -> None:
         program = rig.programs[name]
-        (next(tmp_path.glob(f"{name}-*")) / "operator.toml").write_text(own)
+        (next(tmp_path.glob(f"{name}-*")) / "operator.toml").write_text(config)
         before = len(program.log)
         program.process.send_signal(signal.SIGHUP)
-        wait_until(lambda: [x for x in program.log[before:] if line in x])
+        wait_until(lambda: [x for x in program.log[before:] if expected in x])
 
     with running_fleet(tmp_path, 3) as rig:
         wait_until(lambda: all(len(rig.alive_members(name)) == 3 for name in rig.names))
         key_file.add(str(rig.key), False)
-        for turn in (
+        # The new key is accepted, then signs, then is the only one.
+        for change_keys in (
             lambda path: None,
             key_file.swap,
             key_file.drop,
-        ):  # the new key is valid, then signs, then is the only one
-            turn(str(rig.key))
+        ):
+            change_keys(str(rig.key))
             for name in rig.names:
-                renew(rig, name, rig.operator_config(name), "read again and in force")
+                reload_config(rig, name, rig.operator_config(name), "read again and in force")
                 assert len(rig.alive_members(name)) == 3
         good = rig.operator_config("p1")
-        renew(rig, "p1", good.replace("fleet.key", "none.key"), "fleet.key_file")
-        assert len(rig.alive_members("p1")) == 3  # the old ones stay in force
-        renew(rig, "p1", "", "read again and in force")
+        reload_config(rig, "p1", good.replace("fleet.key", "none.key"), "fleet.key_file")
+        assert len(rig.alive_members("p1")) == 3  # the old keys stay in force
+        reload_config(rig, "p1", "", "read again and in force")
         wait_until(lambda: rig.alive_members("p0") == {"p0", "p2"})
         assert rig.programs["p1"].management_call("GET", "/fleet") == 404
-        renew(rig, "p1", good, "read again and in force")
+        reload_config(rig, "p1", good, "read again and in force")
         for name in rig.names:
             wait_until(lambda name=name: len(rig.alive_members(name)) == 3)
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -1,5 +1,5 @@
-"""The hard cases of proxies that know each other: real processes, and between them what no net should do. Each ends in
-the shared audit; none judges by how fast it went."""
+"""Severe faults in a fleet of real processes: mass kills, one-way partitions, stale processes, faulty networks and a
+member that reports absurd load. Each test ends in the shared audit; none depends on speed."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from slatehub.fleet.peer import Peer, PeerIdentity
 from slatehub.settings import key_file
 
-FAR = 1e12  # more than any figure may say
+EXCESSIVE_FIGURE = 1e12  # above the bound of any figure
 
 
 def shared(rig: FleetRig, key: str) -> list[Any]:
     return [rig.fleet_status(name)["shared"][key] for name in rig.programs]
 
 
-def together(rig: FleetRig) -> None:
+def wait_for_shared_load(rig: FleetRig) -> None:
     wait_until(
         lambda: shared(rig, "sum_of") == [len(rig.names)] * len(rig.programs) and all(shared(rig, "in_use"))
     )
 
 
 @pytest.mark.parametrize("count", [2, 4])
-def test_half_or_all_killed_at_once_and_started_empty_find_each_other(tmp_path: Path, count: int) -> None:
+def test_members_killed_together_find_each_other_after_restart(tmp_path: Path, count: int) -> None:
     with running_fleet(tmp_path, 4) as rig:
-        together(rig)
+        wait_for_shared_load(rig)
         callers = LoadClients(rig)
         callers.wait_until_warm()
-        rest = rig.names[count:]
-        if not rest:
+        others = rig.names[count:]
+        if not others:
             callers.stop()
         for name in rig.names[:count]:
             rig.kill(name)
@@ -49,14 +49,14 @@
             rig.start(name)
         for name in rig.names:
             wait_until(lambda name=name: rig.alive_members(name) == set(rig.names))
-        together(rig)
+        wait_for_shared_load(rig)
         callers.stop()
-        assert not rest or callers.statuses[1] > 200
+        assert not others or callers.statuses[1] > 200
 
 
-def test_one_that_hears_and_is_not_heard_goes_on_serving_and_comes_back(tmp_path: Path) -> None:
+def test_proxy_that_can_only_receive_keeps_serving_and_rejoins(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 4) as rig:
-        together(rig)
+        wait_for_shared_load(rig)
         callers = LoadClients(rig)
         callers.wait_until_warm()
         others = [name for name in rig.names if name != "p2"]
@@ -66,14 +66,14 @@
         served = callers.statuses[1]
         wait_until(lambda: callers.statuses[1] > served + 100)
         rig.set_faults(lambda net: net.heal("mute"))
-        together(rig)
+        wait_for_shared_load(rig)
         callers.stop()
         assert not callers.statuses[0]
 
 
-def test_news_that_is_too_late_counts_for_nothing_and_costs_no_answer(tmp_path: Path) -> None:
+def test_stale_fleet_load_is_ignored_and_costs_no_response(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 3) as rig:
-        together(rig)
+        wait_for_shared_load(rig)
         callers = LoadClients(rig)
         callers.wait_until_warm()
         rig.set_faults(lambda net: setattr(net.faults, "delay", 4_000_000))
@@ -81,43 +81,43 @@
         served = callers.statuses[1]
         wait_until(lambda: callers.statuses[1] > served + 100)
         rig.set_faults(lambda net: setattr(net.faults, "delay", 0))
-        together(rig)
+        wait_for_shared_load(rig)
         callers.stop()
         assert not callers.statuses[0]
 
 
-def test_a_cut_heals_while_one_wakes_with_old_news_and_datagrams_come_twice_late_and_broken(
+def test_partition_heals_while_a_stale_process_resumes_on_a_faulty_network(
     tmp_path: Path,
 ) -> None:
     with running_fleet(tmp_path, 4) as rig:
-        together(rig)
+        wait_for_shared_load(rig)
         rig.set_faults(lambda net: net.partition("cut", ["p0", "p1"], ["p2", "p3"]))
-        asleep = rig.programs.pop("p3")
-        os.kill(asleep.process.pid, signal.SIGSTOP)
+        suspended = rig.programs.pop("p3")
+        os.kill(suspended.process.pid, signal.SIGSTOP)
         wait_until(lambda: rig.alive_members("p0") == rig.alive_members("p1") == {"p0", "p1"})
         callers = LoadClients(rig)
         callers.wait_until_warm()
 
-        def weather(net: Any) -> None:
+        def make_network_faulty(net: Any) -> None:
             net.heal("cut")
             net.faults.duplication = net.faults.corruption = net.faults.reordering = 0.2
             net.faults.reordering_delay = 1_000_000
 
-        rig.set_faults(weather)
-        os.kill(asleep.process.pid, signal.SIGCONT)
-        rig.programs["p3"] = asleep
+        rig.set_faults(make_network_faulty)
+        os.kill(suspended.process.pid, signal.SIGCONT)
+        rig.programs["p3"] = suspended
         for name in rig.names:
             wait_until(lambda name=name: rig.alive_members(name) == set(rig.names))
         callers.stop()
         rig.set_faults(
             lambda net: [setattr(net.faults, key, 0.0) for key in ("duplication", "corruption", "reordering")]
         )
-        together(rig)
+        wait_for_shared_load(rig)
         assert not callers.statuses[0]
 
 
-class Liar:
-    """A member under a good key that tells of more than anybody can do, negative and endless figures among it."""
+class FalseLoadMember:
+    """A member with a valid key that reports more load than any proxy can have."""
 
     def __init__(self, rig: FleetRig, name: str) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -125,15 +125,19 @@
         self.sock.settimeout(0.02)
         host, port = rig.relay.advertised_address(name)
         seeds = tuple(rig.relay.advertised_address(one) for one in rig.names[:2])
-        place = PeerIdentity(name, "test", 0, host, port, seeds)
-        self.peer = Peer(place, key_file.read(str(rig.key)), self.now(), Random(1))
+        identity = PeerIdentity(name, "test", 0, host, port, seeds)
+        self.peer = Peer(identity, key_file.read(str(rig.key)), self.now(), Random(1))
         module: Any = SimpleNamespace(
             servers={}, ready=(), out_count=0, set=SimpleNamespace(classes=()), work=lambda: 0.0
         )
-        share = self.peer.start_load_sharing(self.now(), lambda: module, lambda *_: None)
-        nodes = {2**40 + i: NodeLoad(FAR, FAR, FAR, 0.0) for i in range(24)}
-        most = Load(1, (FAR,) * len(TOTAL_NAMES), ((FAR, FAR),) * 16, nodes)
-        share.meter.read = lambda *_: most  # type: ignore[assignment]
+        load_sharing = self.peer.start_load_sharing(self.now(), lambda: module, lambda *_: None)
+        nodes = {
+            2**40 + i: NodeLoad(EXCESSIVE_FIGURE, EXCESSIVE_FIGURE, EXCESSIVE_FIGURE, 0.0) for i in range(24)
+        }
+        most = Load(
+            1, (EXCESSIVE_FIGURE,) * len(TOTAL_NAMES), ((EXCESSIVE_FIGURE, EXCESSIVE_FIGURE),) * 16, nodes
+        )
+        load_sharing.meter.read = lambda *_: most  # type: ignore[assignment]
         self.on = True
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
@@ -158,12 +162,12 @@
         self.sock.close()
 
 
-def test_nonsense_under_a_good_key_is_clamped_and_nobody_is_turned_away_for_it(tmp_path: Path) -> None:
+def test_authentic_absurd_figures_are_clamped_and_cause_no_refusals(tmp_path: Path) -> None:
     with running_fleet(tmp_path, 4) as rig:
         rig.kill("p3")
-        liar = Liar(rig, "p3")
+        false_member = FalseLoadMember(rig, "p3")
         try:
-            together(rig)
+            wait_for_shared_load(rig)
             callers = LoadClients(rig)
             callers.wait_until_warm()
             wait_until(
@@ -177,4 +181,4 @@
             assert all(part >= 0.5 / 4 for part in shared(rig, "part"))
             assert callers.statuses[0] < 0.1 * callers.statuses[1]
         finally:
-            liar.end()
+            false_member.end()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes as one proxy: what they say to each other, then two real ones under load."""
+"""Hot restart: the messages between the two processes, then two real processes under load."""
 
 from __future__ import annotations
 
@@ -38,30 +38,30 @@
 @given(
     st.lists(st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9)), max_size=6), st.data()
 )
-def test_words_come_through_whole_however_they_are_cut(
-    trees: list[dict[str, object]], data: st.DataObject
+def test_messages_decode_whole_however_they_are_split(
+    messages: list[dict[str, object]], data: st.DataObject
 ) -> None:
-    raw, words, found = b"".join(pack(t) for t in trees), MessageDecoder(), []
+    raw, decoder, decoded = b"".join(pack(t) for t in messages), MessageDecoder(), []
     while raw:
         cut = data.draw(st.integers(1, len(raw)))
-        found += words.feed(raw[:cut])
+        decoded += decoder.feed(raw[:cut])
         raw = raw[cut:]
-    assert found == trees
+    assert decoded == messages
 
 
 @pytest.mark.parametrize(
     "raw", [b"nonsense\n", b"[1]\n", b"\xff\n", b"[" * 99_999 + b"\n", b"x" * (MAX_LINE_BYTES + 1)]
 )
-def test_nonsense_is_told_as_such(raw: bytes) -> None:
+def test_invalid_messages_raise_message_error(raw: bytes) -> None:
     with pytest.raises(MessageError):
         MessageDecoder().feed(raw)
 
 
 @contextmanager
-def two(
+def restart_rig(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int = 2
 ) -> Iterator[tuple[ProxyRig, list[ProxyProcess]]]:
-    """A proxy at work, and a list that takes further processes of it."""
+    """A running proxy, and a list for further processes of it."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     more: list[ProxyProcess] = []
     with running_proxy(tmp_path, nodes=nodes, mgmt="127.0.0.1:0") as p:
@@ -74,16 +74,16 @@
                 assert not [x for x in program.log if "Traceback" in x or "fault" in x]
 
 
-def second(tmp_path: Path, p: ProxyRig) -> ProxyProcess:
-    """`run` started beside the process that is there."""
+def start_successor(tmp_path: Path, p: ProxyRig) -> ProxyProcess:
+    """Starts another process of the proxy beside the running one."""
     members = [node_entry(f"s-{i}", node.address) for i, node in enumerate(p.nodes)]
     p.discovery.push(members, complete=True)
     return ProxyProcess(tmp_path, members, p.discovery.address, mgmt="127.0.0.1:0")
 
 
 class Load:
-    """Callers who ask without end: some on new connections, some on kept ones. A kept connection that has ended between
-    two requests is what the platform lets a caller open anew for; everything else counts as lost."""
+    """Threads that send requests until stopped: some on new connections, some on kept-alive ones. The platform allows a
+    kept-alive connection to close between two requests, and the caller reopens it; any other failure counts as lost."""
 
     def __init__(self, peer: tuple[str, int]) -> None:
         self.peer, self.on = peer, True
@@ -125,15 +125,15 @@
             thread.join(30)
 
 
-def test_an_upgrade_turns_nobody_back_and_keeps_nodes_out(
+def test_hot_restart_loses_no_request_and_keeps_nodes_in_maintenance(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with two(tmp_path, monkeypatch) as (p, more):
+    with restart_rig(tmp_path, monkeypatch) as (p, more):
         assert p.program.management_call("PUT", "/nodes/s-0/maint") == 200
         load = Load(p.program.address)
         try:
             wait_until(lambda: load.served > 50)
-            more.append(second(tmp_path, p))
+            more.append(start_successor(tmp_path, p))
             assert (
                 more[0].management_call("GET", "/healthcheck") == 200 and more[0].address == p.program.address
             )
@@ -145,16 +145,16 @@
         finally:
             load.end()
         assert not load.lost and load.reopened <= 2
-        assert not p.nodes[0].requests  # out by hand at the old one, before the new one started
+        assert not p.nodes[0].requests  # put into maintenance at the old process before the new one started
         assert more[0].management_call("PUT", "/nodes/s-0/ready") == 200
         wait_until(lambda: more[0].request(build_request("ok", SAFE_CLASS)) and p.nodes[0].requests)
 
 
-def test_a_call_at_either_process_binds_both(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    with two(tmp_path, monkeypatch) as (p, more), p.program.connect() as kept:
+def test_operation_at_either_process_applies_to_both(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    with restart_rig(tmp_path, monkeypatch) as (p, more), p.program.connect() as kept:
         kept.sendall(build_request("ok"))
         read_response(kept)
-        more.append(second(tmp_path, p))
+        more.append(start_successor(tmp_path, p))
         for at, other in ((p.program, more[0]), (more[0], p.program)):
             assert at.management_call("PUT", "/nodes/s-1/maint") == 200
             assert other.management_call("PUT", "/nodes/s-1/ready") == 200
@@ -169,12 +169,12 @@
         assert len(p.nodes[0].requests) == seen and more[0].request(READY)[0] == 503
 
 
-def test_the_old_process_serves_on_when_the_new_one_dies(
+def test_old_process_keeps_serving_when_the_new_one_dies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with two(tmp_path, monkeypatch) as (p, more):
-        for _ in range(2):  # also the next one finds it
-            more.append(second(tmp_path, p))
+    with restart_rig(tmp_path, monkeypatch) as (p, more):
+        for _ in range(2):  # a second successor finds the old process too
+            more.append(start_successor(tmp_path, p))
             assert any("takes over" in x for x in more[-1].log)
             more[-1].process.kill()
             more[-1].process.wait()
@@ -185,33 +185,31 @@
                 assert status == 200 and "Connection: close" not in head
 
 
-def test_the_new_process_serves_on_when_the_old_one_is_killed(
+def test_new_process_keeps_serving_when_the_old_one_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with two(tmp_path, monkeypatch) as (p, more):
-        more.append(second(tmp_path, p))
+    with restart_rig(tmp_path, monkeypatch) as (p, more):
+        more.append(start_successor(tmp_path, p))
         p.program.process.kill()
         p.program.process.wait()
         wait_until(lambda: any("the old process has gone" in x for x in more[0].log))
         assert more[0].request(build_request("ok"))[0] == 200
-        more.append(second(tmp_path, p))  # and hands over in its turn
+        more.append(start_successor(tmp_path, p))  # and hands over to the next process
         assert any("takes over" in x for x in more[1].log) and more[1].request(build_request("ok"))[0] == 200
 
 
-def test_a_socket_of_a_process_long_gone_stops_nobody(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_stale_socket_file_does_not_block_a_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    monkeypatch.chdir(tmp_path)  # the system takes short names only
+    monkeypatch.chdir(tmp_path)  # the system limits the length of socket paths
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(shared_path("n0", "sock").name)
-    with two(tmp_path, monkeypatch) as (p, _):
+    with restart_rig(tmp_path, monkeypatch) as (p, _):
         assert p.program.request(build_request("ok"))[0] == 200
 
 
-def test_foreign_words_at_the_socket_disturb_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_handshakes_do_not_block_a_restart(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    with two(tmp_path, monkeypatch) as (p, more):
+    with restart_rig(tmp_path, monkeypatch) as (p, more):
         for raw in (b"\n", b'{"version": 99, "name": "n0"}\n', b'{"version": 1, "name": "other"}\n', b""):
             with socket.socket(socket.AF_UNIX) as conn:
                 monkeypatch.chdir(tmp_path)
@@ -219,15 +217,15 @@
                 conn.sendall(raw)
                 conn.shutdown(socket.SHUT_WR)
                 assert conn.recv(10) == b""
-        more.append(second(tmp_path, p))
+        more.append(start_successor(tmp_path, p))
         assert any("takes over" in x for x in more[0].log) and more[0].request(build_request("ok"))[0] == 200
 
 
-class Alone:
-    """A process with nothing to hand over; it notes what it is told."""
+class RecordingHandler:
+    """A process without a listener to hand over; records the calls it gets."""
 
     def __init__(self) -> None:
-        self.said: list[object] = []
+        self.calls: list[object] = []
 
     def export_state(self) -> dict[str, object]:
         return {"out": {}, "back": {}, "drained": False}
@@ -235,67 +233,65 @@
     def get_listener(self, listen: object) -> None:
         return None
 
-    def apply_operation(self, tree: dict[str, object]) -> int:
-        self.said.append(tree.get("call"))
+    def apply_operation(self, message: dict[str, object]) -> int:
+        self.calls.append(message.get("call"))
         return 200
 
     def suspend(self) -> None:
-        self.said.append("rest")
+        self.calls.append("rest")
 
     def resume(self) -> None:
-        self.said.append("resume")
+        self.calls.append("resume")
 
     def set_shared(self, linked: bool) -> None: ...
 
 
-def test_a_sibling_that_says_nothing_keeps_no_next_process_waiting(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_silent_connections_do_not_block_a_restart(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    old, new, listen = Alone(), Alone(), ("127.0.0.1", 1)
+    old, new, listen = RecordingHandler(), RecordingHandler(), ("127.0.0.1", 1)
     first = HotRestart("n0", listen, old)
     first.announce_serving()
-    mute = [gsocket.socket(gsocket.AF_UNIX, gsocket.SOCK_STREAM) for _ in range(3)]
-    for sock in mute:
+    silent = [gsocket.socket(gsocket.AF_UNIX, gsocket.SOCK_STREAM) for _ in range(3)]
+    for sock in silent:
         sock.connect(str(first.path))
-    mute[0].sendall(b'{"vers')  # half a word
+    silent[0].sendall(b'{"vers')  # an incomplete message
     gevent.sleep(0)
     second = HotRestart("n0", listen, new)
     assert second.connect_to_predecessor() is not None
     second.announce_serving()
     assert (
-        old.said == ["rest"]
+        old.calls == ["rest"]
         and second.forward_operation({"call": "fail", "ident": ""})
-        and old.said == ["rest", "fail"]
+        and old.calls == ["rest", "fail"]
     )
-    for sock in mute:
+    for sock in silent:
         sock.close()
     assert second.predecessor
     second.predecessor.close()
-    while "resume" not in old.said:  # the link has ended: nobody may be left without a door
+    while "resume" not in old.calls:  # the link has closed: the old process has to accept again
         gevent.sleep(0.001)
 
 
 @pytest.mark.parametrize("odd", [None, True, [], {}, "x", 1e308, -1])
-def test_odd_words_on_a_link_are_no_fault_and_never_a_yes(odd: object) -> None:
+def test_odd_values_on_a_link_are_no_fault_and_never_success(odd: object) -> None:
     ours, theirs = gsocket.socketpair()
-    heard: list[object] = []
+    requests: list[object] = []
     ended: list[ProcessLink] = []
 
-    def answer(tree: dict[str, object]) -> dict[str, object]:
-        heard.append(tree)
+    def answer(message: dict[str, object]) -> dict[str, object]:
+        requests.append(message)
         return {"status": 200}
 
     link = ProcessLink(ours, MessageDecoder(), [], answer, ended.append)
     theirs.sendall(pack({"re": odd}) + pack({"call": odd, "ident": odd, "n": odd}))
-    while not heard:
+    while not requests:
         gevent.sleep(0.001)
-    two = HotRestart("n0", ("127.0.0.1", 1), Alone())
-    two.predecessor = link
-    asked = gevent.spawn(two.forward_operation, {"call": "ok"})
+    restart = HotRestart("n0", ("127.0.0.1", 1), RecordingHandler())
+    restart.predecessor = link
+    forwarding = gevent.spawn(restart.forward_operation, {"call": "ok"})
     gevent.sleep(0)
     theirs.sendall(pack({"re": 1, "status": odd}))
-    assert asked.get(timeout=20) is False and link.open
+    assert forwarding.get(timeout=20) is False and link.open
     theirs.close()
     while not ended:
         gevent.sleep(0.001)
