--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -262,7 +262,7 @@
         and other.request({"call": "ok"}, 5) is not None
     )
     other.greenlet.kill()  # it does not read any more
-    assert one.request({"call": "ok"}, 0.01) is None and not one.asked
+    assert one.request({"call": "ok"}, 0.01) is None and not one.pending
     one.close()
     assert one.request({"call": "ok"}, 5) is None
 
