--- a/slatelab/model/__init__.py
+++ b/slatelab/model/__init__.py
@@ -1,6 +1,5 @@
-"""The engine `model`: a day of the plant on virtual time, with the proxies' real decisions and no socket. It
-plays the same scenarios as the engine `live` and writes the same facts. It must never look at a clock of this
-machine."""
+"""The engine `model`: simulates a scenario on virtual time with the proxies' real decision code and without sockets.
+It runs the same scenarios as the engine `live` and writes the same records. It never reads a clock of this machine."""
 
 from .run import run
 
--- a/slatelab/model/client_listener.py
+++ b/slatelab/model/client_listener.py
@@ -1,6 +1,6 @@
-"""A proxy's side of its callers' connections: the program's order screens without sockets
-(`slatehub.fronts.http1.server`, of which the constants below are). It owns who is let in, who makes room,
-and the planned stop. It must never word an answer, nor hold up one caller for another."""
+"""A proxy's side of its client connections: the HTTP/1 server of the proxy without sockets. The constants below
+mirror `slatehub.fronts.http1.server`. This module admits connections, closes idle ones to make room, and runs the
+planned shutdown. It doesn't build answers, and no client waits for another one."""
 
 from __future__ import annotations
 
@@ -17,150 +17,152 @@
     from .connection_balancer import ClientConnection
     from .proxy import Proxy
 
-KEEP_ALIVE_US = 10_000_000  # between requests
+KEEP_ALIVE_US = 10_000_000  # how long a connection may stay idle between two requests
 
 
 class ClientListener:
-    """`connections`: who has been let in, the one that rested longest first; `accept_queue`: who waits in the kernel's
-    queue."""
+    """`connections`: the admitted connections, the longest idle first; `accept_queue`: connections that wait in the
+    kernel's accept queue."""
 
-    def __init__(self, proxy: Proxy, most: int) -> None:
-        self.proxy, self.clock, self.max_connections = proxy, proxy.context.clock, most
+    def __init__(self, proxy: Proxy, max_connections: int) -> None:
+        self.proxy, self.clock, self.max_connections = proxy, proxy.context.clock, max_connections
         self.connections: dict[ClientConnection, None] = {}
         self.accept_queue: deque[ClientConnection] = deque()
         self.listening = True
         self.shutdown: ShutdownSchedule | None = None
 
     @property
-    def still(self) -> Suspension:
-        return self.proxy.still
+    def suspension(self) -> Suspension:
+        return self.proxy.suspension
 
     @property
     def stopping(self) -> bool:
         return self.shutdown is not None
 
     @property
-    def parting(self) -> bool:
+    def disconnecting(self) -> bool:
         return self.shutdown is not None and self.shutdown.disconnecting(self.clock.now)
 
-    # ------------------------------------------------------------ in
+    # ------------------------------------------------------------ accepting connections and requests
 
-    def knock(self, line: ClientConnection) -> None:
-        """A connection has come up, whether or not there is room for it: that is the kernel's, and asks no process."""
-        line.here = True
-        self.accept_queue.append(line)
-        self._look_out()
+    def connection_requested(self, connection: ClientConnection) -> None:
+        """A connection is established, whether or not there is room: the kernel does that without the process."""
+        connection.open_at_proxy = True
+        self.accept_queue.append(connection)
+        self._admit_when_running()
 
     @deferred_while_suspended
-    def _look_out(self) -> None:
+    def _admit_when_running(self) -> None:
         self._admit()
 
     def _admit(self) -> None:
         while self.accept_queue and (len(self.connections) < self.max_connections or self._make_room()):
-            line = self.accept_queue.popleft()
-            if line.here:
-                self.connections[line] = None
-                self._read(line)
+            connection = self.accept_queue.popleft()
+            if connection.open_at_proxy:
+                self.connections[connection] = None
+                self._read(connection)
 
     def _make_room(self) -> bool:
-        spare = next((line for line in self.connections if line.idle), None)
-        if spare:
-            self._shut(spare)
-        return spare is not None
+        idle_connection = next((connection for connection in self.connections if connection.idle), None)
+        if idle_connection:
+            self._close(idle_connection)
+        return idle_connection is not None
 
     @deferred_while_suspended
-    def read(self, line: ClientConnection) -> None:
-        """A whole request has come."""
-        if line in self.connections:
-            self._read(line)
-
-    def _read(self, line: ClientConnection) -> None:
-        if line.letter:
-            (ask, sent), line.letter = line.letter, None
-            if status := self.proxy.take(ask, sent, line):
-                self._say(line, status, "", 0)
-
-    # ------------------------------------------------------------ out
-
-    def answer(self, line: ClientConnection, answer: Answer) -> None:
-        self._say(line, *http_response(answer))
-
-    def _say(self, line: ClientConnection, status: int, token: str, retry_after_us: int) -> None:
-        line.job = None
-        last = self.parting
-        line.back.send(line.heard, status, token, retry_after_us, last)
-        if last:
-            return self._leave(line)
-        del self.connections[line]
-        self.connections[line] = None
-        line.since = self.clock.now
-        self._watch(line)
+    def read(self, connection: ClientConnection) -> None:
+        """A whole request has arrived."""
+        if connection in self.connections:
+            self._read(connection)
+
+    def _read(self, connection: ClientConnection) -> None:
+        if connection.unread_request:
+            (client_request, sent_at), connection.unread_request = connection.unread_request, None
+            if status := self.proxy.receive_request(client_request, sent_at, connection):
+                self._send_response(connection, status, "", 0)
+
+    # ------------------------------------------------------------ responses and closing
+
+    def answer(self, connection: ClientConnection, answer: Answer) -> None:
+        self._send_response(connection, *http_response(answer))
+
+    def _send_response(
+        self, connection: ClientConnection, status: int, token: str, retry_after_us: int
+    ) -> None:
+        connection.job = None
+        closing = self.disconnecting
+        connection.to_client.send(connection.response_received, status, token, retry_after_us, closing)
+        if closing:
+            return self._remove(connection)
+        del self.connections[connection]
+        self.connections[connection] = None
+        connection.idle_since = self.clock.now
+        self._schedule_expiry(connection)
         self._admit()
 
     @deferred_while_suspended
-    def left(self, line: ClientConnection) -> None:
-        """The caller has closed it."""
-        if line.here:
-            job, line.job = line.job, None
-            self._leave(line)
+    def client_disconnected(self, connection: ClientConnection) -> None:
+        """The client has closed the connection."""
+        if connection.open_at_proxy:
+            job, connection.job = connection.job, None
+            self._remove(connection)
             if job:
                 self.proxy.caller_disconnected(job)
 
-    def _shut(self, line: ClientConnection) -> None:
-        line.back.send(line.ended, "closed")
-        self._leave(line)
+    def _close(self, connection: ClientConnection) -> None:
+        connection.to_client.send(connection.closed_by_proxy, "closed")
+        self._remove(connection)
 
-    def _leave(self, line: ClientConnection) -> None:
-        line.here = False
-        self.connections.pop(line, None)
+    def _remove(self, connection: ClientConnection) -> None:
+        connection.open_at_proxy = False
+        self.connections.pop(connection, None)
         self._admit()
-        self.look()
+        self.check_finished()
 
-    def _watch(self, line: ClientConnection) -> None:
-        if not line.waking:
-            line.waking = True
-            self.clock.call_at(line.since + KEEP_ALIVE_US, self._expire, line)
+    def _schedule_expiry(self, connection: ClientConnection) -> None:
+        if not connection.expiry_scheduled:
+            connection.expiry_scheduled = True
+            self.clock.call_at(connection.idle_since + KEEP_ALIVE_US, self._expire, connection)
 
     @deferred_while_suspended
-    def _expire(self, line: ClientConnection) -> None:
-        line.waking = False
-        if line.here and line.idle:
-            if self.clock.now >= line.since + KEEP_ALIVE_US:
-                self._shut(line)
+    def _expire(self, connection: ClientConnection) -> None:
+        connection.expiry_scheduled = False
+        if connection.open_at_proxy and connection.idle:
+            if self.clock.now >= connection.idle_since + KEEP_ALIVE_US:
+                self._close(connection)
             else:
-                self._watch(line)
+                self._schedule_expiry(connection)
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ shutdown
 
-    def stop(self, end: ShutdownSchedule) -> None:
-        """A planned end: goes on serving whoever comes, then closes who is idle, and is over when every job in hand
-        has been answered."""
-        self.shutdown = end
-        self.clock.call_at(end.disconnect_at, self._part)
-        self.clock.call_at(end.answer_by, self.look)
+    def stop(self, shutdown: ShutdownSchedule) -> None:
+        """Starts a planned shutdown: new requests are served until `disconnect_at`, then idle connections are closed.
+        It is finished when every open job has been answered."""
+        self.shutdown = shutdown
+        self.clock.call_at(shutdown.disconnect_at, self._disconnect_idle)
+        self.clock.call_at(shutdown.answer_by, self.check_finished)
 
     @deferred_while_suspended
-    def _part(self) -> None:
+    def _disconnect_idle(self) -> None:
         self.listening = False
-        for line in [line for line in self.connections if line.idle]:
-            self._shut(line)
+        for connection in [connection for connection in self.connections if connection.idle]:
+            self._close(connection)
 
     @deferred_while_suspended
-    def look(self) -> None:
-        """Whether the planned end has come."""
+    def check_finished(self) -> None:
+        """Ends the process if the planned shutdown is complete."""
         if (
             self.shutdown
             and self.shutdown.finished(self.clock.now)
-            and not (self.connections or self.accept_queue or self.proxy.outs)
+            and not (self.connections or self.accept_queue or self.proxy.downstream_exchanges)
         ):
             self.proxy.exited()
 
-    def die(self) -> None:
-        """The process has ended: whoever is connected hears a reset."""
+    def reset_all(self) -> None:
+        """The process has ended: every open connection is reset."""
         self.listening = False
-        for line in [*self.connections, *self.accept_queue]:
-            if line.here:
-                line.here = False
-                line.back.send(line.ended, "reset")
+        for connection in [*self.connections, *self.accept_queue]:
+            if connection.open_at_proxy:
+                connection.open_at_proxy = False
+                connection.to_client.send(connection.closed_by_proxy, "reset")
         self.connections.clear()
         self.accept_queue.clear()
--- a/slatelab/model/clients.py
+++ b/slatelab/model/clients.py
@@ -1,6 +1,6 @@
-"""The outside clients: sends each order at its time, whatever became of those before, and each further try as
-its client would. It owns tries and what callers see of them. It must never wait for one try before it sends
-another: latency counts from the intended time (open loop)."""
+"""The outside clients: they send each order at its scheduled time, whatever happened to earlier ones, and retry as
+the scenario's clients do. This module keeps the attempts and records what the clients see of them. The load is open
+loop: no attempt waits for another, and latency counts from the intended time."""
 
 from __future__ import annotations
 
@@ -21,17 +21,27 @@
 
 
 class ClientAttempt:
-    """One try of an order. `unheard_by`: proxies that could not be reached; `resent`: it has been written
-    once more, as the closing of its connection crossed it."""
-
-    __slots__ = ("ask", "attempt", "clients", "resent", "connection", "order", "over", "unheard_by", "wake")
+    """One attempt of an order. `refused_by`: proxies that refused the connection; `resent`: the request has been
+    sent a second time, because the proxy closed the idle connection while the request was in transit."""
+
+    __slots__ = (
+        "client_request",
+        "attempt_number",
+        "clients",
+        "resent",
+        "connection",
+        "order",
+        "finished",
+        "refused_by",
+        "timer",
+    )
 
     def __init__(self, clients: Clients, order: Order, attempt: int, intended: int) -> None:
-        world = clients.context
-        self.clients, self.order, self.attempt = clients, order, attempt
-        until = client.attempt_timeout_at(world.scenario, order, intended)
-        retried = attempt > 0 and world.scenario.clients.marks_retry
-        self.ask = ClientRequest(
+        context = clients.context
+        self.clients, self.order, self.attempt_number = clients, order, attempt
+        until = client.attempt_timeout_at(context.scenario, order, intended)
+        retried = attempt > 0 and context.scenario.clients.marks_retry
+        self.client_request = ClientRequest(
             f"o{order.number}.{attempt}",
             attempt,
             f"c{order.number}",
@@ -45,117 +55,119 @@
             retried,
         )
         self.connection: ClientConnection | None = None
-        self.unheard_by: list[str] = []
-        self.resent = self.over = False
-        # A little longer than it says: an answer on its way must not be taken for none.
-        self.wake = world.clock.call_at(until + world.scenario.rules.answer_slack, self._late)
-
-    def asked(self, proxy: str) -> None:
-        """It has been written whole."""
-        ask, world = self.ask, self.clients.context
-        world.say(
+        self.refused_by: list[str] = []
+        self.resent = self.finished = False
+        # Waits a little longer than the deadline, so that an answer in transit is not counted as missing.
+        self.timer = context.clock.call_at(until + context.scenario.rules.answer_slack, self._timed_out)
+
+    def request_written(self, proxy: str) -> None:
+        """The whole request has been written."""
+        client_request, context = self.client_request, self.clients.context
+        context.add_record(
             Asked(
-                world.clock.now,
-                ask.request,
-                ask.attempt,
-                ask.caller,
+                context.clock.now,
+                client_request.request,
+                client_request.attempt,
+                client_request.caller,
                 proxy,
                 0,
-                world.classes[ask.cls],
-                world.tenants[ask.tenant],
-                ask.intended,
-                ask.until,
+                context.classes[client_request.cls],
+                context.tenants[client_request.tenant],
+                client_request.intended,
+                client_request.until,
             )
         )
 
     def answered(self, status: int, token: str, retry_after_us: int) -> None:
-        world = self.clients.context
-        world.say(Answered(world.clock.now, self.ask.request, status, token, retry_after_us))
-        self._end(
+        context = self.clients.context
+        context.add_record(
+            Answered(context.clock.now, self.client_request.request, status, token, retry_after_us)
+        )
+        self._finish(
             "served" if status == 200 else "refused" if status in REFUSALS else "failed", retry_after_us
         )
 
-    def broken(self, why: str) -> None:
-        self._break(True, why)
+    def broken(self, reason: str) -> None:
+        self._connection_failed(True, reason)
 
-    def nobody(self) -> None:
-        self._break(False, "no proxy takes it")
+    def no_proxy_available(self) -> None:
+        self._connection_failed(False, "no proxy takes it")
 
-    def _break(self, sent: bool, why: str) -> None:
-        world = self.clients.context
-        world.say(BrokenOff(world.clock.now, self.ask.request, sent, why))
-        self._end("gone" if sent else "unheard", 0)
+    def _connection_failed(self, sent: bool, reason: str) -> None:
+        context = self.clients.context
+        context.add_record(BrokenOff(context.clock.now, self.client_request.request, sent, reason))
+        self._finish("gone" if sent else "unheard", 0)
 
-    def _late(self) -> None:
-        world = self.clients.context
-        world.say(GaveUp(world.clock.now, self.ask.request))
+    def _timed_out(self) -> None:
+        context = self.clients.context
+        context.add_record(GaveUp(context.clock.now, self.client_request.request))
         if self.connection:
             self.connection.give_up()
-        self._end("gave-up", 0)
-        self.clients.front.freed()
+        self._finish("gave-up", 0)
+        self.clients.balancer.send_waiting()
 
-    def _end(self, end: AttemptOutcome, retry_after_us: int) -> None:
-        self.over = True
-        self.wake.cancel()
-        self.clients.ended(self, end, retry_after_us)
+    def _finish(self, outcome: AttemptOutcome, retry_after_us: int) -> None:
+        self.finished = True
+        self.timer.cancel()
+        self.clients.attempt_ended(self, outcome, retry_after_us)
 
 
 class Clients:
-    """`over` is called when no order is open and none is to come."""
+    """`on_completed` is called once no order is open and none is still to be sent."""
 
     def __init__(
         self,
-        world: SimulationContext,
-        front: ConnectionBalancer,
+        context: SimulationContext,
+        balancer: ConnectionBalancer,
         orders: list[Order],
-        over: Callable[[], None],
+        on_completed: Callable[[], None],
     ) -> None:
-        self.context, self.clock, self.front, self.orders, self._over = (
-            world,
-            world.clock,
-            front,
+        self.context, self.clock, self.balancer, self.orders, self._on_completed = (
+            context,
+            context.clock,
+            balancer,
             orders,
-            over,
+            on_completed,
         )
-        self.begun = self.open = 0
-        self._told = False
+        self.started = self.open_orders = 0
+        self._completed = False
         self.counts = {"served": 0, "refused": 0, "failed": 0}
-        self.latencies: list[int] | None = None  # of what was served, where somebody watches
-        self._wait()
+        self.latencies: list[int] | None = None  # of served orders, if progress is reported
+        self._schedule_next_order()
 
-    def _wait(self) -> None:
-        if self.begun < len(self.orders):
-            self.clock.call_at(self.orders[self.begun].at, self._due)
+    def _schedule_next_order(self) -> None:
+        if self.started < len(self.orders):
+            self.clock.call_at(self.orders[self.started].at, self._start_order)
         else:
-            self._look()
+            self._check_completed()
 
-    def _due(self) -> None:
-        order = self.orders[self.begun]
-        self.begun += 1
-        self.open += 1
+    def _start_order(self) -> None:
+        order = self.orders[self.started]
+        self.started += 1
+        self.open_orders += 1
         self._send(order, 0, order.at)
-        self._wait()
+        self._schedule_next_order()
 
     def _send(self, order: Order, attempt: int, intended: int) -> None:
-        self.front.send(ClientAttempt(self, order, attempt, intended))
-
-    def ended(self, one: ClientAttempt, end: AttemptOutcome, retry_after_us: int) -> None:
-        order, now = one.order, self.clock.now
-        if end != "served":
-            rng = self.context.random_streams.stream("client", order.number, one.attempt)
-            again = client.next_retry(
-                self.context.scenario, order, one.attempt, now, end, retry_after_us, rng
+        self.balancer.send(ClientAttempt(self, order, attempt, intended))
+
+    def attempt_ended(self, attempt: ClientAttempt, outcome: AttemptOutcome, retry_after_us: int) -> None:
+        order, now = attempt.order, self.clock.now
+        if outcome != "served":
+            rng = self.context.random_streams.stream("client", order.number, attempt.attempt_number)
+            retry = client.next_retry(
+                self.context.scenario, order, attempt.attempt_number, now, outcome, retry_after_us, rng
             )
-            if again:
-                self.clock.call_at(again.at, self._send, order, one.attempt + 1, again.at)
+            if retry:
+                self.clock.call_at(retry.at, self._send, order, attempt.attempt_number + 1, retry.at)
                 return
-        self.open -= 1
-        self.counts[end if end in self.counts else "failed"] += 1
-        if end == "served" and self.latencies is not None:
+        self.open_orders -= 1
+        self.counts[outcome if outcome in self.counts else "failed"] += 1
+        if outcome == "served" and self.latencies is not None:
             self.latencies.append(now - order.at)
-        self._look()
+        self._check_completed()
 
-    def _look(self) -> None:
-        if not (self.open or self._told) and self.begun == len(self.orders):
-            self._told = True
-            self._over()
+    def _check_completed(self) -> None:
+        if not (self.open_orders or self._completed) and self.started == len(self.orders):
+            self._completed = True
+            self._on_completed()
--- a/slatelab/model/connection_balancer.py
+++ b/slatelab/model/connection_balancer.py
@@ -1,7 +1,6 @@
-"""The front layer before the first tier and the outside callers' connections: hands out connections to the
-proxies in turn. It owns which proxies are in use, when it notices that one has gone, and how many connections
-there are. It must never end a try of its own accord, and never hold one back while a connection may be
-had."""
+"""The connection balancer in front of the first tier, and the clients' connections: it spreads connections over the
+proxies in rotation. It keeps track of which proxies are in use, notices with a delay that one has gone, and limits the
+number of connections. It never ends an attempt on its own, and makes one wait only while no connection is available."""
 
 from __future__ import annotations
 
@@ -19,207 +18,216 @@
     from .proxy import Proxy
     from .proxy_supervisor import ProxySupervisor
 
-DEATH_NOTICED_US = 1_000_000  # a proxy that has died is handed out connections for so long
-STOP_NOTICED_US = 300_000  # the same of one that has been told to stop
+DEATH_NOTICED_US = 1_000_000  # a dead proxy still gets new connections for this long
+STOP_NOTICED_US = 300_000  # a stopping proxy still gets new connections for this long
 
 
 class ClientConnection:
-    """One connection of an outside caller, and the screen of the job on it. `open` is the caller's side,
-    `here` the proxy's; `letter`: a request that has come and not been read, with the time it was written."""
+    """One connection of an outside client, and the responder of the job on it. `open` is the state of the client's
+    side, `open_at_proxy` that of the proxy's; `unread_request`: a request that has arrived and has not been read, with
+    the time at which it was written."""
 
     __slots__ = (
-        "back", "forth", "front", "here", "job", "letter", "one", "open", "supervisor", "proxy", "served", "since",
-        "waking",
+        "to_client", "to_proxy", "balancer", "open_at_proxy", "job", "unread_request", "attempt", "open", "supervisor",
+        "proxy", "served", "idle_since", "expiry_scheduled",
     )  # fmt: skip
 
-    def __init__(self, front: ConnectionBalancer, post: ProxySupervisor, one: ClientAttempt) -> None:
-        self.front, self.supervisor = front, post
-        self.one: ClientAttempt | None = one
+    def __init__(
+        self, balancer: ConnectionBalancer, supervisor: ProxySupervisor, attempt: ClientAttempt
+    ) -> None:
+        self.balancer, self.supervisor = balancer, supervisor
+        self.attempt: ClientAttempt | None = attempt
         self.proxy: Proxy | None = None
-        far = front.context.network.far
-        self.forth, self.back = (
-            OrderedChannel(front.context.clock, far),
-            OrderedChannel(front.context.clock, far),
+        client_delay = balancer.context.network.client_delay
+        self.to_proxy, self.to_client = (
+            OrderedChannel(balancer.context.clock, client_delay),
+            OrderedChannel(balancer.context.clock, client_delay),
         )
-        self.open, self.here, self.served, self.waking = True, False, False, False
+        self.open, self.open_at_proxy, self.served, self.expiry_scheduled = True, False, False, False
         self.job: Job | None = None
-        self.letter: tuple[ClientRequest, int] | None = None
-        self.since = 0
+        self.unread_request: tuple[ClientRequest, int] | None = None
+        self.idle_since = 0
 
     # ------------------------------------------------------------ the proxy's side
 
     @property
     def idle(self) -> bool:
         """Whether the proxy may close it between two requests."""
-        return self.served and self.job is None and self.letter is None
+        return self.served and self.job is None and self.unread_request is None
 
     def answer(self, job: Job, answer: Answer) -> None:
         assert self.proxy
         self.served = True
         self.proxy.client_listener.answer(self, answer)
 
-    def knock(self) -> None:
+    def connection_requested(self) -> None:
         proxy = self.supervisor.proxy
         if proxy is None or not proxy.client_listener.listening:
-            return self.back.send(self.refused)
+            return self.to_client.send(self.refused)
         self.proxy = proxy
-        proxy.client_listener.knock(self)
-        self.back.send(self.up)
+        proxy.client_listener.connection_requested(self)
+        self.to_client.send(self.established)
 
-    def deliver(self, ask: ClientRequest, sent: int) -> None:
-        if self.here and self.proxy:  # else its end is on the way back
-            self.letter = ask, sent
+    def deliver(self, client_request: ClientRequest, sent_at: int) -> None:
+        # If the proxy has closed the connection, the client is about to learn of it.
+        if self.open_at_proxy and self.proxy:
+            self.unread_request = client_request, sent_at
             self.proxy.client_listener.read(self)
 
-    def left(self) -> None:
+    def client_disconnected(self) -> None:
         if self.proxy:
-            self.proxy.client_listener.left(self)
+            self.proxy.client_listener.client_disconnected(self)
 
-    # ------------------------------------------------------------ the caller's side
+    # ------------------------------------------------------------ the client's side
 
-    def up(self) -> None:
-        if self.open and self.one:
-            self._carry(self.one)
+    def established(self) -> None:
+        if self.open and self.attempt:
+            self._send_request(self.attempt)
 
-    def _carry(self, one: ClientAttempt) -> None:
-        self.one = one
-        one.asked(self.supervisor.spec.name)
-        self.forth.send(self.deliver, one.ask, self.front.context.clock.now)
+    def _send_request(self, attempt: ClientAttempt) -> None:
+        self.attempt = attempt
+        attempt.request_written(self.supervisor.spec.name)
+        self.to_proxy.send(self.deliver, attempt.client_request, self.balancer.context.clock.now)
 
-    def use(self, one: ClientAttempt) -> None:
-        """For a further request, on an idle connection."""
-        one.connection = self
-        self._carry(one)
+    def reuse(self, attempt: ClientAttempt) -> None:
+        """Sends a further request on this idle connection."""
+        attempt.connection = self
+        self._send_request(attempt)
 
     def refused(self) -> None:
-        one = self.one
+        attempt = self.attempt
         if self.open:
-            self.shut()
-            if one:
-                self.front.unheard(one, self.supervisor)
+            self.close()
+            if attempt:
+                self.balancer.connection_refused(attempt, self.supervisor)
 
-    def heard(self, status: int, token: str, retry_after_us: int, last: bool) -> None:
-        one, self.one = self.one, None
-        if not self.open or one is None:
+    def response_received(self, status: int, token: str, retry_after_us: int, closing: bool) -> None:
+        attempt, self.attempt = self.attempt, None
+        if not self.open or attempt is None:
             return
-        one.connection = None
-        if last:
-            self.shut()
+        attempt.connection = None
+        if closing:
+            self.close()
         else:
-            self.front.rest(self)
-        one.answered(status, token, retry_after_us)
-        self.front.freed()
+            self.balancer.release(self)
+        attempt.answered(status, token, retry_after_us)
+        self.balancer.send_waiting()
 
-    def ended(self, why: str) -> None:
-        """The proxy has closed it, or died."""
-        one, served = self.one, self.served
+    def closed_by_proxy(self, reason: str) -> None:
+        """The proxy has closed the connection, or died."""
+        attempt, served = self.attempt, self.served
         if not self.open:
             return
-        self.shut()
-        if one is None:
-            return self.front.freed()
-        if why == "closed" and served and not one.resent:
-            # The closing crossed a request that the proxy has not read: it goes out once more.
-            one.resent = True
-            self.front.open(one, self.supervisor)
+        self.close()
+        if attempt is None:
+            return self.balancer.send_waiting()
+        if reason == "closed" and served and not attempt.resent:
+            # The proxy closed the connection before it read the request, so the request is sent once more.
+            attempt.resent = True
+            self.balancer.open(attempt, self.supervisor)
         else:
-            one.broken(why)
-            self.front.freed()
+            attempt.broken(reason)
+            self.balancer.send_waiting()
 
-    def shut(self) -> None:
-        """The caller's side is closed; nobody is told."""
+    def close(self) -> None:
+        """Closes the client's side without notice to the proxy or the attempt."""
         self.open = False
-        self.one = None
-        self.front.gone(self)
+        self.attempt = None
+        self.balancer.connection_closed(self)
 
     def give_up(self) -> None:
         if self.open:
-            self.shut()
-            self.forth.send(self.left)
+            self.close()
+            self.to_proxy.send(self.client_disconnected)
 
 
 class ConnectionBalancer:
-    """A proxy that is taken out of use keeps the connections it has until they close, as clients do."""
-
-    def __init__(self, world: SimulationContext, posts: list[ProxySupervisor]) -> None:
-        self.context, self.supervisors = world, posts
-        self.most = world.scenario.clients.connections
-        self.count = 0
-        self.used: dict[str, bool] = {post.spec.name: False for post in posts}
-        self.idle: dict[str, list[ClientConnection]] = {post.spec.name: [] for post in posts}
+    """A proxy that is taken out of use keeps its connections until they close, as real clients keep theirs."""
+
+    def __init__(self, context: SimulationContext, supervisors: list[ProxySupervisor]) -> None:
+        self.context, self.supervisors = context, supervisors
+        self.max_connections = context.scenario.clients.connections
+        self.open_connections = 0
+        self.in_use: dict[str, bool] = {supervisor.spec.name: False for supervisor in supervisors}
+        self.idle: dict[str, list[ClientConnection]] = {
+            supervisor.spec.name: [] for supervisor in supervisors
+        }
         self.waiting: deque[ClientAttempt] = deque()
-        self._turn = 0
-        self._turns = [
-            posts[place] for place in weighted_round_robin(len(posts), world.scenario.tiers[0].skew)
+        self._next_position = 0
+        self._rotation = [
+            supervisors[index]
+            for index in weighted_round_robin(len(supervisors), context.scenario.tiers[0].skew)
         ]
 
     # ------------------------------------------------------------ which proxies are in use
 
-    def changes(self, post: ProxySupervisor) -> None:
-        """A proxy has answered ready, has been told to stop, or has ended."""
-        if post.spec.tier:
+    def proxy_changed(self, supervisor: ProxySupervisor) -> None:
+        """A proxy has become ready, has begun to stop, or has ended."""
+        if supervisor.spec.tier:
             return
-        day, proxy = self.context.clock, post.proxy
+        clock, proxy = self.context.clock, supervisor.proxy
         if proxy is None:
-            day.call_at(day.now + DEATH_NOTICED_US, self._look, post)
+            clock.call_at(clock.now + DEATH_NOTICED_US, self._update_in_use, supervisor)
         elif proxy.client_listener.stopping:
-            day.call_at(day.now + STOP_NOTICED_US, self._look, post)
+            clock.call_at(clock.now + STOP_NOTICED_US, self._update_in_use, supervisor)
         else:
-            self.used[post.spec.name] = True
+            self.in_use[supervisor.spec.name] = True
 
-    def _look(self, post: ProxySupervisor) -> None:
-        self.used[post.spec.name] = bool(post.proxy and not post.proxy.client_listener.stopping)
+    def _update_in_use(self, supervisor: ProxySupervisor) -> None:
+        self.in_use[supervisor.spec.name] = bool(
+            supervisor.proxy and not supervisor.proxy.client_listener.stopping
+        )
 
-    # ------------------------------------------------------------ tries
+    # ------------------------------------------------------------ attempts
 
-    def send(self, one: ClientAttempt) -> None:
-        """To the next proxy in turn, over an idle connection or a new one."""
-        post = self._choose(one)
-        if post is None:
-            return one.nobody()
-        idle = self.idle[post.spec.name]
-        if not idle and self.count >= self.most:
-            idle = next((lines for lines in self.idle.values() if lines), [])
+    def send(self, attempt: ClientAttempt) -> None:
+        """Sends an attempt to the next proxy in rotation, on an idle connection or a new one."""
+        supervisor = self._choose(attempt)
+        if supervisor is None:
+            return attempt.no_proxy_available()
+        idle = self.idle[supervisor.spec.name]
+        if not idle and self.open_connections >= self.max_connections:
+            idle = next((connections for connections in self.idle.values() if connections), [])
             if not idle:
-                return self.waiting.append(one)
+                return self.waiting.append(attempt)
         if idle:
-            idle.pop().use(one)
+            idle.pop().reuse(attempt)
         else:
-            self.open(one, post)
-
-    def _choose(self, one: ClientAttempt) -> ProxySupervisor | None:
-        for i in range(len(self._turns)):
-            post = self._turns[(self._turn + i) % len(self._turns)]
-            name = post.spec.name
-            if name not in one.unheard_by and (self.used[name] or self.idle[name]):
-                self._turn += i + 1
-                return post
+            self.open(attempt, supervisor)
+
+    def _choose(self, attempt: ClientAttempt) -> ProxySupervisor | None:
+        for i in range(len(self._rotation)):
+            supervisor = self._rotation[(self._next_position + i) % len(self._rotation)]
+            name = supervisor.spec.name
+            if name not in attempt.refused_by and (self.in_use[name] or self.idle[name]):
+                self._next_position += i + 1
+                return supervisor
         return None
 
-    def open(self, one: ClientAttempt, post: ProxySupervisor) -> None:
-        line = one.connection = ClientConnection(self, post, one)
-        self.count += 1
-        line.forth.send(line.knock)
-
-    def unheard(self, one: ClientAttempt, post: ProxySupervisor) -> None:
-        """Nobody took the connection: the front tries the others at once, so a dead proxy costs no more than
-        that."""
-        one.connection = None
-        one.unheard_by.append(post.spec.name)
-        self.send(one)
-
-    def rest(self, line: ClientConnection) -> None:
-        self.idle[line.supervisor.spec.name].append(line)
-
-    def gone(self, line: ClientConnection) -> None:
-        self.count -= 1
-        lines = self.idle[line.supervisor.spec.name]
-        if line in lines:
-            lines.remove(line)
-
-    def freed(self) -> None:
-        """A connection is free: the try that has waited longest goes on."""
+    def open(self, attempt: ClientAttempt, supervisor: ProxySupervisor) -> None:
+        connection = attempt.connection = ClientConnection(self, supervisor, attempt)
+        self.open_connections += 1
+        connection.to_proxy.send(connection.connection_requested)
+
+    def connection_refused(self, attempt: ClientAttempt, supervisor: ProxySupervisor) -> None:
+        """The connection was refused: the other proxies are tried at once, so a dead proxy costs no
+        more than the refused connection."""
+        attempt.connection = None
+        attempt.refused_by.append(supervisor.spec.name)
+        self.send(attempt)
+
+    def release(self, connection: ClientConnection) -> None:
+        self.idle[connection.supervisor.spec.name].append(connection)
+
+    def connection_closed(self, connection: ClientConnection) -> None:
+        self.open_connections -= 1
+        connections = self.idle[connection.supervisor.spec.name]
+        if connection in connections:
+            connections.remove(connection)
+
+    def send_waiting(self) -> None:
+        """A connection is available: sends the attempt that has waited longest."""
         while self.waiting:
-            one = self.waiting.popleft()
-            if not one.over:
-                return self.send(one)
+            attempt = self.waiting.popleft()
+            if not attempt.finished:
+                return self.send(attempt)
--- a/slatelab/model/direct.py
+++ b/slatelab/model/direct.py
@@ -1,6 +1,6 @@
-"""The yardstick `proxy.kind = "direct"`: a desk that sends each job to a node drawn at random, once, with no
-limit and no memory. It has the surface of `slatehub.core.dispatcher.Dispatcher`, and must never be any wiser than
-this."""
+"""The baseline `proxy.kind = "direct"`: a dispatcher that sends each job once, to a node drawn at random, with no
+limit and no state about nodes. It has the surface of `slatehub.core.dispatcher.Dispatcher`. It stays this simple, as
+the other kinds of proxy are compared with it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from slatehub.decisions.shutdown import MAX_DEADLINE_US, ShutdownSchedule
 
 NO_LIMIT = 2**40
-VERDICTS = {
+ANSWER_STATUSES = {
     Status.OK: AnswerStatus.SERVED,
     Status.FULL: AnswerStatus.REFUSED,
     Status.CONNECT_FAILED: AnswerStatus.REFUSED,
@@ -22,7 +22,7 @@
 
 
 class DirectDispatcher:
-    """Everything is done at once; it asks for no turn and no alarm but to begin its watch of the list."""
+    """Handles every event at once. It needs no batch, and a timer only to start watching the node list."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -34,8 +34,8 @@
         self.pending_events: list[Any] = []
 
     def take_commands(self) -> list[Command]:
-        acts, self._commands = self._commands, []
-        return acts
+        commands, self._commands = self._commands, []
+        return commands
 
     def due(self) -> int | None:
         return self._watch_at
@@ -72,7 +72,7 @@
         attempt.exchange = None
         job = attempt.job
         if not job.answered:
-            self._answer(job, Answer(VERDICTS.get(status, AnswerStatus.FAILED), printed))
+            self._answer(job, Answer(ANSWER_STATUSES.get(status, AnswerStatus.FAILED), printed))
         job.attempts = []
 
     def _answer(self, job: Job, answer: Answer) -> None:
@@ -82,8 +82,7 @@
     def update_nodes(
         self, now: int, kind: ListKind, version: int = 0, entries: tuple[Entry, ...] = ()
     ) -> None:
-        """Asks for a watch on hearing the list that it starts with, and again a second after one has
-        failed."""
+        """Starts a watch after the initial (cached) list, and again one second after a watch has failed."""
         if kind in (ListKind.FAILED, ListKind.CACHED):
             self._watch_at = now + 1_000_000 * (kind is ListKind.FAILED)
         if kind is not ListKind.FAILED:
--- a/slatelab/model/discovery.py
+++ b/slatelab/model/discovery.py
@@ -1,5 +1,5 @@
-"""Discovery as the proxies reach it: the Registry with the network before it. It owns which call is whose,
-and the facts of what was asked and told; what is told, and when, is the Registry's."""
+"""Discovery as the proxies reach it: the Registry behind the simulated network. This module maps calls to their
+callers and records calls and responses. The Registry decides what is answered, and when."""
 
 from __future__ import annotations
 
@@ -19,80 +19,80 @@
 
 
 class UnrecordedPoller:
-    """The lab's own look at the list of one tier, which is no fact: what a proxy that starts is given as the
-    list it last had. While discovery is down that stays as it was."""
+    """Polls the node list of one tier for the lab itself, without a record. A proxy that starts is given this list as
+    the one that it had last. The list stays unchanged while discovery is down."""
 
-    def __init__(self, world: SimulationContext, tier: int) -> None:
-        self.context, self.tier = world, tier
+    def __init__(self, context: SimulationContext, tier: int) -> None:
+        self.context, self.tier = context, tier
         self.rows: tuple[RegistryEntry, ...] = ()
 
-    def ask(self) -> None:
+    def poll(self) -> None:
         discovery, now = self.context.discovery, self.context.clock.now
-        ticket = discovery.new_call_id()
-        discovery.calls[ticket] = self
-        discovery.registry.receive_call(now, "", self.tier, None, 0, ticket)
-        discovery.turn()
+        call_id = discovery.new_call_id()
+        discovery.calls[call_id] = self
+        discovery.registry.receive_call(now, "", self.tier, None, 0, call_id)
+        discovery.advance()
 
-    def answered(self, answer: RegistryResponse) -> None:
-        if answer.status == 200:
-            self.rows = answer.entries
+    def answered(self, response: RegistryResponse) -> None:
+        if response.status == 200:
+            self.rows = response.entries
 
-    def broken(self, ticket: int) -> None: ...
+    def broken(self, call_id: int) -> None: ...
 
 
 class Discovery:
-    """`calls`: who waits for what, by ticket."""
+    """`calls`: the callers that wait for a response, by call id."""
 
-    def __init__(self, world: SimulationContext) -> None:
-        self.context, self.clock = world, world.clock
-        self.registry = Registry(world.scenario, self.clock.now)
+    def __init__(self, context: SimulationContext) -> None:
+        self.context, self.clock = context, context.clock
+        self.registry = Registry(context.scenario, self.clock.now)
         self.calls: dict[int, DiscoveryClient | UnrecordedPoller] = {}
-        self.asides = [UnrecordedPoller(world, tier) for tier in range(len(world.scenario.tiers))]
-        self._tickets = count(1)
+        self.pollers = [UnrecordedPoller(context, tier) for tier in range(len(context.scenario.tiers))]
+        self._call_ids = count(1)
         self._wake: ScheduledCall | None = None
 
-    def set(self, spec: NodeSpec, address: str, phase: str, since: int) -> None:
+    def set_node_state(self, spec: NodeSpec, address: str, phase: str, since: int) -> None:
         self.registry.set_node(self.clock.now, spec.id, phase, spec.tier, address, since)
         self._set_wake()
 
-    def change(self, change: FaultEvent) -> None:
+    def apply_fault(self, change: FaultEvent) -> None:
         now = self.clock.now
         if change.kind == "discovery-down":
-            for ticket in self.registry.set_down(now, change.is_start):
-                if caller := self.calls.pop(ticket, None):
-                    self.clock.call_at(now + self.context.network.near(), caller.broken, ticket)
+            for call_id in self.registry.set_down(now, change.is_start):
+                if client := self.calls.pop(call_id, None):
+                    self.clock.call_at(now + self.context.network.internal_delay(), client.broken, call_id)
         else:
             tier = self.context.simulated_nodes[change.targets[0]].spec.tier
             self.registry.set_false_deletions(now, tier, change.targets if change.is_start else ())
         self._set_wake()
 
     def new_call_id(self) -> int:
-        return next(self._tickets)
-
-    def ask(self, listing: DiscoveryClient, since: int | None, wait_us: int, ticket: int) -> None:
-        """A call has come."""
-        spec = listing.proxy.spec
-        self.calls[ticket] = listing
-        self.context.say(Polled(self.clock.now, spec.name))
-        self.registry.receive_call(self.clock.now, spec.name, spec.tier, since, wait_us, ticket)
-        self.turn()
-
-    def forget(self, ticket: int) -> None:
-        """Its caller has hung up."""
-        if self.calls.pop(ticket, None):
-            self.registry.cancel_call(ticket)
-
-    def turn(self) -> None:
-        for answer in self.registry.advance(self.clock.now):
-            if caller := self.calls.pop(answer.call_id, None):
-                self._answer(caller, answer)
+        return next(self._call_ids)
+
+    def receive_call(self, client: DiscoveryClient, since: int | None, wait_us: int, call_id: int) -> None:
+        """A call has arrived."""
+        spec = client.proxy.spec
+        self.calls[call_id] = client
+        self.context.add_record(Polled(self.clock.now, spec.name))
+        self.registry.receive_call(self.clock.now, spec.name, spec.tier, since, wait_us, call_id)
+        self.advance()
+
+    def cancel_call(self, call_id: int) -> None:
+        """The caller has closed its connection."""
+        if self.calls.pop(call_id, None):
+            self.registry.cancel_call(call_id)
+
+    def advance(self) -> None:
+        for response in self.registry.advance(self.clock.now):
+            if client := self.calls.pop(response.call_id, None):
+                self._answer(client, response)
         self._set_wake()
 
-    def _answer(self, caller: DiscoveryClient | UnrecordedPoller, answer: RegistryResponse) -> None:
+    def _answer(self, client: DiscoveryClient | UnrecordedPoller, response: RegistryResponse) -> None:
         now = self.clock.now
-        for shown in answer.entries if answer.proxy else ():
-            self.context.say(Told(now, answer.proxy, shown.node, shown.phase, shown.started_at_us))
-        self.clock.call_at(now + self.context.network.near(), caller.answered, answer)
+        for entry in response.entries if response.proxy else ():
+            self.context.add_record(Told(now, response.proxy, entry.node, entry.phase, entry.started_at_us))
+        self.clock.call_at(now + self.context.network.internal_delay(), client.answered, response)
 
     def _set_wake(self) -> None:
         due = self.registry.next_event_time()
@@ -100,8 +100,8 @@
             if self._wake.due == due:
                 return
             self._wake.cancel()
-        self._wake = None if due is None else self.clock.call_at(due, self._fire)
+        self._wake = None if due is None else self.clock.call_at(due, self._wake_up)
 
-    def _fire(self) -> None:
+    def _wake_up(self) -> None:
         self._wake = None
-        self.turn()
+        self.advance()
--- a/slatelab/model/discovery_client.py
+++ b/slatelab/model/discovery_client.py
@@ -1,6 +1,6 @@
-"""A proxy's node list: asks discovery for the nodes of its tier and keeps a watch on changes, as the program
-does (`slatehub.discovery.node_list`), in the same times. It owns the revision held and the
-number of each node id. It must never ask more often than the module wants, but to go on with a watch."""
+"""A proxy's discovery client: fetches the nodes of the proxy's tier and watches for changes, as
+`slatehub.discovery.node_list` does, with the same timeouts. It keeps the current revision and the number of each node
+id. Apart from continuing a watch, it calls discovery only when the decision module wants it."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 if TYPE_CHECKING:
     from .proxy import Proxy
 
-WAIT_US = WATCH_TIMEOUT_MS * 1000
+WATCH_TIMEOUT_US = WATCH_TIMEOUT_MS * 1000
 PHASES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 
 
 class Entries:
-    """Rows of discovery as entries of the module. They are alike for all proxies, so each is made once."""
+    """Converts discovery rows to entries of the decision module. All proxies share them, so each is made once."""
 
-    def __init__(self, world: SimulationContext) -> None:
+    def __init__(self, context: SimulationContext) -> None:
         self.numbers = EndpointNumbers({})
-        self._world = world
-        self._made: dict[tuple[str, str, int], Entry] = {}
-        self._kinds = [{kind.name: i for i, kind in enumerate(tier.kind)} for tier in world.scenario.tiers]
+        self._context = context
+        self._entries: dict[tuple[str, str, int], Entry] = {}
+        self._kinds = [{kind.name: i for i, kind in enumerate(tier.kind)} for tier in context.scenario.tiers]
 
-    def of(self, row: RegistryEntry) -> Entry:
+    def entry_for(self, row: RegistryEntry) -> Entry:
         key = row.node, row.phase, row.started_at_us
-        if key not in self._made:
-            spec = self._world.specs[row.node]
-            # Discovery tells whole milliseconds of Unix time, and 0 for long ago.
+        if key not in self._entries:
+            spec = self._context.specs[row.node]
+            # Discovery gives whole milliseconds of Unix time, and 0 for nodes that started long ago.
             since = (EPOCH_UNIX_US + row.started_at_us) // 1000 * 1000 if row.started_at_us else 0
             kind = self._kinds[spec.tier][spec.kind.name]
-            self._made[key] = Entry(self.numbers.number_of(row.node), PHASES[row.phase], since, kind=kind)
-        return self._made[key]
+            self._entries[key] = Entry(self.numbers.number_of(row.node), PHASES[row.phase], since, kind=kind)
+        return self._entries[key]
 
 
 class DiscoveryClient:
-    """`ticket`: the call now out, 0: none."""
+    """`call_id`: the open call, 0 if there is none."""
 
     def __init__(self, proxy: Proxy, entries: Entries) -> None:
         self.proxy, self.context, self.clock, self.entries = (
@@ -53,77 +53,83 @@
             entries,
         )
         self.revision: int | None = None
-        self.linked = False  # has a connection to discovery
+        self.connected = False  # whether a connection to discovery is open
         self.call_id = 0
-        self._late: ScheduledCall | None = None
+        self._deadline_timer: ScheduledCall | None = None
 
     @property
-    def still(self) -> Suspension:
-        return self.proxy.still
+    def suspension(self) -> Suspension:
+        return self.proxy.suspension
 
-    def start(self, known: tuple[RegistryEntry, ...]) -> None:
-        """The list as this proxy last had it, perhaps old."""
-        self._take(known, ListKind.CACHED, 0)
+    def start(self, cached_rows: tuple[RegistryEntry, ...]) -> None:
+        """Loads the node list that this proxy had last, which may be outdated."""
+        self._apply(cached_rows, ListKind.CACHED, 0)
 
     def watch(self, on: bool) -> None:
         if on and not self.call_id:
-            self._ask()
+            self._send_call()
         elif not on:
             self.close()
 
     def close(self) -> None:
-        """Hangs up."""
-        if self._late:
-            self._late.cancel()
+        """Cancels the open call and closes the connection."""
+        if self._deadline_timer:
+            self._deadline_timer.cancel()
         if self.call_id:
             self.clock.call_at(
-                self.clock.now + self.context.network.near(), self.context.discovery.forget, self.call_id
+                self.clock.now + self.context.network.internal_delay(),
+                self.context.discovery.cancel_call,
+                self.call_id,
             )
-        self.call_id, self.linked = 0, False
+        self.call_id, self.connected = 0, False
 
     # ------------------------------------------------------------ the watch
 
-    def _ask(self) -> None:
-        discovery, near = self.context.discovery, self.context.network.near
+    def _send_call(self) -> None:
+        discovery, internal_delay = self.context.discovery, self.context.network.internal_delay
         self.call_id = discovery.new_call_id()
-        written = self.clock.now + (0 if self.linked else near() + near())
-        self.linked = True
-        wait = 0 if self.revision is None else WAIT_US
-        self.clock.call_at(written + near(), discovery.ask, self, self.revision, wait, self.call_id)
-        self._late = self.clock.call_at(written + WATCH_DEADLINE_US, self._failed)
+        sent_at = self.clock.now + (0 if self.connected else internal_delay() + internal_delay())
+        self.connected = True
+        wait = 0 if self.revision is None else WATCH_TIMEOUT_US
+        self.clock.call_at(
+            sent_at + internal_delay(), discovery.receive_call, self, self.revision, wait, self.call_id
+        )
+        self._deadline_timer = self.clock.call_at(sent_at + WATCH_DEADLINE_US, self._failed)
 
     @deferred_while_suspended
-    def answered(self, answer: RegistryResponse) -> None:
-        if answer.call_id != self.call_id or self.proxy.over:
+    def answered(self, response: RegistryResponse) -> None:
+        if response.call_id != self.call_id or self.proxy.has_ended:
             return
-        if answer.status != 200:
+        if response.status != 200:
             return self._failed()
         self._stop_waiting()
-        self._take(answer.entries, ListKind.FULL if answer.complete else ListKind.DELTA, answer.revision)
-        if not self.call_id:  # else the module has ended the watch and begun another
-            self._ask()
+        self._apply(
+            response.entries, ListKind.FULL if response.complete else ListKind.DELTA, response.revision
+        )
+        if not self.call_id:  # otherwise the module has already ended this watch and begun another
+            self._send_call()
 
     @deferred_while_suspended
-    def broken(self, ticket: int) -> None:
-        if ticket == self.call_id:
+    def broken(self, call_id: int) -> None:
+        if call_id == self.call_id:
             self._failed()
 
     @deferred_while_suspended
     def _failed(self) -> None:
-        if not self.proxy.over:
+        if not self.proxy.has_ended:
             self.close()
             self.proxy.update_nodes(ListKind.FAILED, 0, ())
 
     def _stop_waiting(self) -> None:
         self.call_id = 0
-        if self._late:
-            self._late.cancel()
+        if self._deadline_timer:
+            self._deadline_timer.cancel()
 
-    def _take(self, rows: tuple[RegistryEntry, ...], kind: ListKind, revision: int) -> None:
+    def _apply(self, rows: tuple[RegistryEntry, ...], kind: ListKind, revision: int) -> None:
         for row in rows:
             if row.phase != "DELETED":
                 self.proxy.node_pool.set_node(self.entries.numbers.number_of(row.node), row.host_port)
         self.revision = revision
-        self.proxy.update_nodes(kind, revision, tuple(self.entries.of(row) for row in rows))
+        self.proxy.update_nodes(kind, revision, tuple(self.entries.entry_for(row) for row in rows))
         for endpoint in self.proxy.dispatcher.unavailable_since:
             self.proxy.node_pool.close_node(endpoint)
--- a/slatelab/model/downstream_calls.py
+++ b/slatelab/model/downstream_calls.py
@@ -1,5 +1,5 @@
-"""A node's call to the next tier, through the proxy of its own beside it. It owns what the node sees of the
-call, and must never decide what the node makes of its end."""
+"""A node's calls to the next tier, through the node's own proxy on the same machine. This module records what the
+node sees of a call; the node itself decides what follows from the result."""
 
 from __future__ import annotations
 
@@ -22,127 +22,131 @@
 
 
 class DownstreamExchange:
-    """One call, and the screen of its job. Every end is told to the place once, unless the place itself gives
+    """One call, and the responder of its job. The result is reported to the node once, unless the node itself gives
     up."""
 
-    __slots__ = ("act", "ask", "job", "finished", "node", "proxy", "wake")
+    __slots__ = ("call", "client_request", "job", "finished", "node", "proxy", "timer")
 
-    def __init__(self, place: SimulatedNode, act: DownstreamCall, ask: ClientRequest) -> None:
-        self.node, self.act = place, act
-        self.ask = replace(
-            ask,
-            request=act.request,
+    def __init__(self, node: SimulatedNode, call: DownstreamCall, client_request: ClientRequest) -> None:
+        self.node, self.call = node, call
+        self.client_request = replace(
+            client_request,
+            request=call.request,
             attempt=0,
-            caller=place.spec.id,
-            path=act.path,
-            intended=place.clock.now,
-            until=act.until,
+            caller=node.spec.id,
+            path=call.path,
+            intended=node.clock.now,
+            until=call.until,
             retried=False,
         )
         self.proxy: Proxy | None = None
         self.job: Job | None = None
         self.finished = False
-        self.wake: ScheduledCall | None = None
+        self.timer: ScheduledCall | None = None
 
     def send(self) -> None:
-        day, world = self.node.clock, self.node.context
-        world.open_calls += 1
-        # A little longer than it says: an answer on its way must not be taken for none.
-        self.wake = day.call_at(self.act.until + world.scenario.rules.answer_slack, self._late)
-        if self.act.until <= day.now:
-            return  # nobody waits for it any more
-        post = self.node.own
-        if post is None or post.proxy is None or not post.proxy.client_listener.listening:
-            day.call_at(day.now + 2 * LOOPBACK_US, self._refused)
+        clock, context = self.node.clock, self.node.context
+        context.open_calls += 1
+        # Waits a little longer than the deadline, so that an answer in transit is not counted as missing.
+        self.timer = clock.call_at(self.call.until + context.scenario.rules.answer_slack, self._timed_out)
+        if self.call.until <= clock.now:
+            return  # the deadline has passed already
+        supervisor = self.node.own_proxy
+        if supervisor is None or supervisor.proxy is None or not supervisor.proxy.client_listener.listening:
+            clock.call_at(clock.now + 2 * LOOPBACK_US, self._connection_refused)
             return
-        self.proxy = post.proxy
-        ask, tier = self.ask, self.node.spec.tier + 1
-        world.say(
+        self.proxy = supervisor.proxy
+        client_request, tier = self.client_request, self.node.spec.tier + 1
+        context.add_record(
             Asked(
-                day.now,
-                ask.request,
+                clock.now,
+                client_request.request,
                 0,
-                ask.caller,
-                post.spec.name,
+                client_request.caller,
+                supervisor.spec.name,
                 tier,
-                world.classes[ask.cls],
-                world.tenants[ask.tenant],
-                ask.intended,
-                ask.until,
+                context.classes[client_request.cls],
+                context.tenants[client_request.tenant],
+                client_request.intended,
+                client_request.until,
             )
         )
-        day.call_at(day.now + LOOPBACK_US, self._reach, day.now)
+        clock.call_at(clock.now + LOOPBACK_US, self._deliver, clock.now)
 
-    def _reach(self, sent: int) -> None:
+    def _deliver(self, sent_at: int) -> None:
         if self.finished or self.proxy is None:
             return
-        if self.proxy.over:
+        if self.proxy.has_ended:
             return self.broken()
-        self.proxy.outs[self] = None
-        if status := self.proxy.take(self.ask, sent, self):
-            self._leave()
-            self._back(status, "", 0)
+        self.proxy.downstream_exchanges[self] = None
+        if status := self.proxy.receive_request(self.client_request, sent_at, self):
+            self._release_job()
+            self._send_back(status, "", 0)
 
-    # ------------------------------------------------------------ what the proxy says
+    # ------------------------------------------------------------ results from the proxy
 
     def answer(self, job: Job, answer: Answer) -> None:
-        self._leave()
-        self._back(*http_response(answer))
+        self._release_job()
+        self._send_back(*http_response(answer))
 
     def broken(self) -> None:
-        """The proxy has ended with this in hand."""
-        self.node.clock.call_at(self.node.clock.now + LOOPBACK_US, self._broke)
+        """The proxy has ended while the call was open."""
+        self.node.clock.call_at(self.node.clock.now + LOOPBACK_US, self._connection_reset)
 
-    def _back(self, status: int, token: str, retry_after_us: int) -> None:
-        self.node.clock.call_at(self.node.clock.now + LOOPBACK_US, self._heard, status, token, retry_after_us)
+    def _send_back(self, status: int, token: str, retry_after_us: int) -> None:
+        self.node.clock.call_at(
+            self.node.clock.now + LOOPBACK_US, self._response_received, status, token, retry_after_us
+        )
 
-    def _leave(self) -> None:
+    def _release_job(self) -> None:
         self.job = None
         if self.proxy:
-            self.proxy.outs.pop(self, None)
-            self.proxy.client_listener.look()
+            self.proxy.downstream_exchanges.pop(self, None)
+            self.proxy.client_listener.check_finished()
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ how the call ends
 
-    def _heard(self, status: int, token: str, retry_after_us: int) -> None:
+    def _response_received(self, status: int, token: str, retry_after_us: int) -> None:
         if not self.finished:
-            self._end()
-            self.node.context.say(
-                Answered(self.node.clock.now, self.ask.request, status, token, retry_after_us)
+            self._finish()
+            self.node.context.add_record(
+                Answered(self.node.clock.now, self.client_request.request, status, token, retry_after_us)
             )
-            self.node.returned(self, status == 200)
+            self.node.downstream_finished(self, status == 200)
 
-    def _refused(self) -> None:
-        self._lost(False, "refused")
+    def _connection_refused(self) -> None:
+        self._fail(False, "refused")
 
-    def _broke(self) -> None:
-        self._lost(True, "reset")
+    def _connection_reset(self) -> None:
+        self._fail(True, "reset")
 
-    def _lost(self, sent: bool, why: str) -> None:
+    def _fail(self, sent: bool, reason: str) -> None:
         if not self.finished:
-            self._end()
-            self.node.context.say(BrokenOff(self.node.clock.now, self.ask.request, sent, why))
-            self.node.returned(self, False)
+            self._finish()
+            self.node.context.add_record(
+                BrokenOff(self.node.clock.now, self.client_request.request, sent, reason)
+            )
+            self.node.downstream_finished(self, False)
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         if not self.finished:
             self.give_up()
-            self.node.returned(self, False)
+            self.node.downstream_finished(self, False)
 
     def give_up(self) -> None:
-        """Its time is up, or the node has ended."""
+        """The deadline has passed, or the node has ended."""
         if self.finished:
             return
-        self._end()
-        self.node.context.say(GaveUp(self.node.clock.now, self.ask.request))
+        self._finish()
+        self.node.context.add_record(GaveUp(self.node.clock.now, self.client_request.request))
         if self.proxy and self.job:
             self.node.clock.call_at(
                 self.node.clock.now + LOOPBACK_US, self.proxy.caller_disconnected, self.job
             )
-        self._leave()
+        self._release_job()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.finished = True
         self.node.context.open_calls -= 1
-        if self.wake:
-            self.wake.cancel()
+        if self.timer:
+            self.timer.cancel()
--- a/slatelab/model/faults.py
+++ b/slatelab/model/faults.py
@@ -1,5 +1,5 @@
-"""Carries out the fault schedule: the one table from the kinds of FaultEvent to what befalls places, proxies and
-discovery. It must never choose a target or a time; the schedule has."""
+"""Applies the fault schedule: maps each kind of FaultEvent to its effect on nodes, proxies and discovery. The
+schedule alone chooses targets and times."""
 
 from __future__ import annotations
 
@@ -14,51 +14,53 @@
 
 
 class Faults:
-    def __init__(self, world: SimulationContext, changes: list[FaultEvent]) -> None:
-        self.context = world
-        self.active_faults = ActiveFaults(world.scenario)
+    def __init__(self, context: SimulationContext, changes: list[FaultEvent]) -> None:
+        self.context = context
+        self.active_faults = ActiveFaults(context.scenario)
         for change in changes:
-            world.clock.call_at(change.at, self._carry_out, change)
+            context.clock.call_at(change.at, self._apply, change)
 
-    def _carry_out(self, change: FaultEvent) -> None:
-        fact = FaultBegan if change.is_start or change.kind not in DURABLE_FAULTS else FaultEnded
-        self.context.say(fact(self.context.clock.now, change.fault, change.kind, change.targets))
+    def _apply(self, change: FaultEvent) -> None:
+        record_type = FaultBegan if change.is_start or change.kind not in DURABLE_FAULTS else FaultEnded
+        self.context.add_record(
+            record_type(self.context.clock.now, change.fault, change.kind, change.targets)
+        )
         for name, condition in self.active_faults.apply(change):
             self.context.simulated_nodes[name].set_condition(condition)
         if change.kind in PEER_FAULTS:
-            self.context.peer_network.change(change)
+            self.context.peer_network.apply_fault(change)
         elif change.kind.startswith("discovery"):
-            self.context.discovery.change(change)
+            self.context.discovery.apply_fault(change)
         elif change.kind == "proxy-freeze":
             for name in change.targets:
                 self.context.proxy_supervisors[name].freeze(change.is_start)
-        elif act := ON_POSTS.get(change.kind):
+        elif action := PROXY_ACTIONS.get(change.kind):
             for name in change.targets:
-                act(self.context.proxy_supervisors[name])
+                action(self.context.proxy_supervisors[name])
         else:
             for name in change.targets:
-                self._on_place(self.context.simulated_nodes[name], change)
+                self._apply_to_node(self.context.simulated_nodes[name], change)
 
-    def _on_place(self, place: SimulatedNode, change: FaultEvent) -> None:
+    def _apply_to_node(self, node: SimulatedNode, change: FaultEvent) -> None:
         kind = change.kind
         if kind in ("kill", "stop"):
-            place.crash("killed" if kind == "kill" else "stopped")
+            node.crash("killed" if kind == "kill" else "stopped")
         elif kind == "drain":
-            place.drain()
+            node.drain()
         elif kind in ("start", "renew"):
-            place.restart(kind == "renew", self.active_faults.conditions_for(place.name))
+            node.restart(kind == "renew", self.active_faults.conditions_for(node.name))
         elif kind == "reset":
-            place.break_some(change.spec.part or 1.0, f"{change.fault} {change.at}")
-        elif kind == "black-hole" and self.active_faults.is_black_holed(place.name):
-            place.cut = True
+            node.reset_connections(change.spec.part or 1.0, f"{change.fault} {change.at}")
+        elif kind == "black-hole" and self.active_faults.is_black_holed(node.name):
+            node.isolated = True
         elif kind == "black-hole":
-            place.end_isolation()
+            node.end_isolation()
 
 
-ON_POSTS: dict[str, Callable[[ProxySupervisor], None]] = {
+PROXY_ACTIONS: dict[str, Callable[[ProxySupervisor], None]] = {
     "proxy-kill": ProxySupervisor.kill,
     "proxy-stop": ProxySupervisor.stop,
-    "proxy-end": ProxySupervisor.cut_short,
+    "proxy-end": ProxySupervisor.kill_if_stopping,
     "proxy-start": ProxySupervisor.start,
     "proxy-reload": ProxySupervisor.reload,
 }
--- a/slatelab/model/http_response.py
+++ b/slatelab/model/http_response.py
@@ -1,4 +1,4 @@
-"""A proxy's final answer as a caller reads it. It must never decide anything."""
+"""Converts a proxy's final answer to the HTTP response that the client receives."""
 
 from __future__ import annotations
 
--- a/slatelab/model/network.py
+++ b/slatelab/model/network.py
@@ -1,5 +1,5 @@
-"""How long a message is on its way. It owns the delays and their jitter, and must never lose or reorder a
-message: what keeps the order on one connection is the connection's (`OrderedChannel`)."""
+"""Network delays with jitter. Messages are never lost here; `OrderedChannel` keeps the messages of one connection in
+order."""
 
 from __future__ import annotations
 
@@ -11,43 +11,49 @@
 
 from .virtual_clock import VirtualClock
 
-LOOPBACK_US = 30  # one way between a node and its own proxy, which stand on one machine
+LOOPBACK_US = 30  # one way between a node and its own proxy on the same machine
 
 
 class Network:
-    """One way delays in microseconds, drawn evenly between (1 - jitter) and (1 + jitter) of the
-    scenario's."""
+    """One-way delays in microseconds, drawn uniformly between (1 - jitter) and (1 + jitter) times the scenario's
+    delay."""
 
     def __init__(self, scenario: Scenario, rng: random.Random) -> None:
         net = scenario.network
         self._random = rng.random
-        self._near, self._far = net.delay * (1 - net.jitter), net.client_delay * (1 - net.jitter)
-        self._near_more, self._far_more = 2 * net.jitter * net.delay, 2 * net.jitter * net.client_delay
-
-    def near(self) -> int:
+        self._internal_least, self._client_least = (
+            net.delay * (1 - net.jitter),
+            net.client_delay * (1 - net.jitter),
+        )
+        self._internal_spread, self._client_spread = (
+            2 * net.jitter * net.delay,
+            2 * net.jitter * net.client_delay,
+        )
+
+    def internal_delay(self) -> int:
         """Between proxies, nodes and discovery."""
-        return int(self._near + self._near_more * self._random() + 0.5)
+        return int(self._internal_least + self._internal_spread * self._random() + 0.5)
 
-    def far(self) -> int:
+    def client_delay(self) -> int:
         """Between outside clients and proxies."""
-        return int(self._far + self._far_more * self._random() + 0.5)
+        return int(self._client_least + self._client_spread * self._random() + 0.5)
 
 
 class OrderedChannel:
-    """One direction of one connection: what is sent later arrives later, whatever the jitter (TCP)."""
+    """One direction of one connection. Like TCP it keeps the order of messages, whatever the jitter."""
 
     __slots__ = ("_clock", "_delay", "last")
 
-    def __init__(self, day: VirtualClock, delay: Callable[[], int]) -> None:
-        self._clock, self._delay, self.last = day, delay, 0
+    def __init__(self, clock: VirtualClock, delay: Callable[[], int]) -> None:
+        self._clock, self._delay, self.last = clock, delay, 0
 
     def arrival(self) -> int:
-        """When a message sent now arrives."""
+        """The time at which a message sent now arrives."""
         due = self._clock.now + self._delay()
         if due > self.last:
             self.last = due
         return self.last
 
     def send(self, call: Callable[..., None], *args: Any) -> None:
-        """Calls when a message sent now arrives."""
+        """Makes the call at the time at which a message sent now arrives."""
         self._clock.call_at(self.arrival(), call, *args)
--- a/slatelab/model/node_connections.py
+++ b/slatelab/model/node_connections.py
@@ -1,7 +1,7 @@
-"""A proxy's side of the connections to nodes, and every attempt that travels on one: the program's machine
-room without sockets (`slatehub.nodes.http1`, of which the constants below are). It owns connections from
-opening to closing and says of each attempt once how it ended, by the program's own table of outcomes. It must
-never choose a node or try again."""
+"""A proxy's side of its connections to nodes, and the attempts sent on them: the proxy's HTTP/1 client without
+sockets. The constants below mirror `slatehub.nodes.http1` and `slatehub.drivers.upstream`. This module opens and closes
+connections and reports the status of each attempt once, by the proxy's own table of outcomes. It neither chooses nodes
+nor retries."""
 
 from __future__ import annotations
 
@@ -20,102 +20,111 @@
     from .proxy import Proxy
     from .simulated_node import SimulatedNode
 
-HOLD_US = 2_000  # between the last byte but one and the last of a request on a connection used before
-CLOSE_EARLY_US = 1_000_000  # before the node closes an idle connection itself
+LAST_BYTE_DELAY_US = 2_000  # how long a reused connection holds back the last byte of a request
+IDLE_CLOSE_MARGIN_US = 1_000_000  # the proxy closes an idle connection this long before the node would
 
 
 class PooledNode:
-    """A node as the proxy knows it: where it is, and the idle connections to it, the newest last."""
+    """A node as the proxy knows it: its address, and the idle connections to it, the last used one last."""
 
-    __slots__ = ("address", "endpoint", "idle", "place")
+    __slots__ = ("address", "endpoint", "idle", "simulated_node")
 
-    def __init__(self, endpoint: int, address: str, place: SimulatedNode) -> None:
-        self.endpoint, self.address, self.place = endpoint, address, place
+    def __init__(self, endpoint: int, address: str, simulated_node: SimulatedNode) -> None:
+        self.endpoint, self.address, self.simulated_node = endpoint, address, simulated_node
         self.idle: list[NodeConnection] = []
 
 
 class NodeConnection:
-    """One connection. `open` is the proxy's side; `dead`: its end has come while it was in use, and not yet
-    been looked at; `ready`: it is not up earlier, as several round trips come before the first byte; `life`
-    and `key` are the node's: in which it came up, and the attempt now on it."""
+    """One connection. `open` is the state of the proxy's side; `dead`: the node closed it before the request's last
+    byte was sent, and this has not been handled yet; `ready`: the earliest time at which it is established, as several
+    round trips precede the first byte. `life` and `key` belong to the node: the node's life in which the connection was
+    established, and the attempt that it carries."""
 
     __slots__ = (
-        "back", "dead", "exchange", "expires", "pool", "forth", "key", "life", "node", "open", "place",
-        "proxy", "ready", "used", "waking",
+        "to_proxy", "dead", "exchange", "expires", "pool", "to_node", "key", "life", "node", "open", "simulated_node",
+        "proxy", "ready", "used", "expiry_scheduled",
     )  # fmt: skip
 
-    def __init__(self, floor: NodeConnectionPool, machine: PooledNode, errand: AttemptExchange) -> None:
-        self.pool, self.node, self.place, self.proxy = floor, machine, machine.place, floor.proxy.name
-        self.exchange: AttemptExchange | None = errand
-        near = floor.context.network.near
-        self.forth, self.back = OrderedChannel(floor.clock, near), OrderedChannel(floor.clock, near)
-        self.open, self.used, self.dead, self.waking = True, False, False, False
+    def __init__(self, pool: NodeConnectionPool, node: PooledNode, exchange: AttemptExchange) -> None:
+        self.pool, self.node, self.simulated_node, self.proxy = (
+            pool,
+            node,
+            node.simulated_node,
+            pool.proxy.name,
+        )
+        self.exchange: AttemptExchange | None = exchange
+        internal_delay = pool.context.network.internal_delay
+        self.to_node, self.to_proxy = (
+            OrderedChannel(pool.clock, internal_delay),
+            OrderedChannel(pool.clock, internal_delay),
+        )
+        self.open, self.used, self.dead, self.expiry_scheduled = True, False, False, False
         self.ready = self.expires = self.life = self.key = 0
 
     @property
-    def still(self) -> Suspension:
-        return self.pool.proxy.still
+    def suspension(self) -> Suspension:
+        return self.pool.proxy.suspension
 
-    # ------------------------------------------------------------ what comes from the node
+    # ------------------------------------------------------------ events from the node
 
     @deferred_while_suspended
-    def up(self) -> None:
+    def established(self) -> None:
         if self.open and self.exchange:
             self.exchange.connected()
 
     @deferred_while_suspended
     def refused(self) -> None:
         if self.open and self.exchange:
-            self.exchange.stop(Status.CONNECT_FAILED)
+            self.exchange.finish(Status.CONNECT_FAILED)
 
     @deferred_while_suspended
     def broken(self) -> None:
-        errand = self.exchange
+        exchange = self.exchange
         if not self.open:
             return
-        if errand is None:
+        if exchange is None:
             self.pool.drop(self)
-        elif errand.written:
-            errand.stop(status_for_broken_connection(True))
+        elif exchange.written:
+            exchange.finish(status_for_broken_connection(True))
         else:
-            self.dead = True  # found before the last byte is let go
+            self.dead = True  # checked before the last byte is sent
 
     @deferred_while_suspended
     def answered(self, status: int, turned: bool, token: str, report: tuple[float, ...]) -> None:
-        errand = self.exchange
-        if self.open and errand:
-            self.exchange = errand.connection = None
+        exchange = self.exchange
+        if self.open and exchange:
+            self.exchange = exchange.connection = None
             self.pool.release(self)
-            errand.stop(status_for_response(status, turned), report, token)
+            exchange.finish(status_for_response(status, turned), report, token)
 
-    # ------------------------------------------------------------ the proxy's own end
+    # ------------------------------------------------------------ the proxy's side
 
     def close(self) -> None:
         if self.open:
             self.open = False
             self.exchange = None
             self.pool.open_connections -= 1
-            self.forth.send(self.place.part, self)
+            self.to_node.send(self.simulated_node.connection_closed, self)
 
     @deferred_while_suspended
     def expire(self) -> None:
-        """It has rested too long, or been used since this was set."""
-        self.waking = False
+        """Closes the connection if it has been idle for too long; it may have been used since the timer was set."""
+        self.expiry_scheduled = False
         if self.open and self.exchange is None:
             if self.pool.clock.now >= self.expires:
                 self.pool.drop(self)
             else:
-                self.watch()
+                self.schedule_expiry()
 
-    def watch(self) -> None:
-        if not self.waking:
-            self.waking = True
+    def schedule_expiry(self) -> None:
+        if not self.expiry_scheduled:
+            self.expiry_scheduled = True
             self.pool.clock.call_at(self.expires, self.expire)
 
 
 class AttemptExchange:
-    """One attempt under way. However it ends, `stop` tells the desk once and closes what is not fit to be
-    kept."""
+    """One attempt in progress. However it ends, `finish` reports its status to the dispatcher once and closes a
+    connection that can't be reused."""
 
     __slots__ = (
         "timer",
@@ -129,32 +138,32 @@
         "written",
     )
 
-    def __init__(self, floor: NodeConnectionPool, attempt: Attempt, machine: PooledNode) -> None:
-        self.pool, self.attempt, self.node = floor, attempt, machine
+    def __init__(self, pool: NodeConnectionPool, attempt: Attempt, node: PooledNode) -> None:
+        self.pool, self.attempt, self.node = pool, attempt, node
         self.connection: NodeConnection | None = None
         self.written = self.finished = False
         self.until = attempt.deadline - EPOCH_UNIX_US
-        self.timer = floor.clock.call_at(self.until, self._late)
-        self.connect_timer: ScheduledCall | None = None  # the limit for connecting
+        self.timer = pool.clock.call_at(self.until, self._timed_out)
+        self.connect_timer: ScheduledCall | None = None  # the connect timeout
 
     @property
-    def still(self) -> Suspension:
-        return self.pool.proxy.still
-
-    def hand_over(self) -> None:
-        """On the idle connection used last, or on a new one."""
-        machine = self.node
-        if machine.idle:
-            line = self.connection = machine.idle.pop()
-            line.exchange = self
-            self._write(line)
-        elif new := self.pool.connect(machine, self):
+    def suspension(self) -> Suspension:
+        return self.pool.proxy.suspension
+
+    def send(self) -> None:
+        """Sends the request on the last used idle connection, or on a new one."""
+        node = self.node
+        if node.idle:
+            connection = self.connection = node.idle.pop()
+            connection.exchange = self
+            self._write(connection)
+        elif new := self.pool.connect(node, self):
             self.connection = new
             self.connect_timer = self.pool.clock.call_at(
-                self.pool.clock.now + self.pool.connect_us, self._in_vain
+                self.pool.clock.now + self.pool.connect_us, self._connect_timed_out
             )
         else:
-            self.stop(status_for_broken_connection(False))
+            self.finish(status_for_broken_connection(False))
 
     def connected(self) -> None:
         if self.connect_timer:
@@ -163,40 +172,44 @@
         assert self.connection
         self._write(self.connection)
 
-    def _write(self, line: NodeConnection) -> None:
+    def _write(self, connection: NodeConnection) -> None:
         if self.attempt.endpoint in self.pool.proxy.dispatcher.unavailable_since:
-            return self.stop(Status.MOOT)
-        if line.used:
-            # All but the last byte; until that has gone nobody can have begun on it.
-            self.pool.clock.call_at(self.pool.clock.now + HOLD_US, self._let_go, line.forth.arrival())
+            return self.finish(Status.MOOT)
+        if connection.used:
+            # Sends all but the last byte: until that is sent, the node can't have begun to work on the request.
+            self.pool.clock.call_at(
+                self.pool.clock.now + LAST_BYTE_DELAY_US, self._send_held_byte, connection.to_node.arrival()
+            )
         else:
-            self._last_byte(line.forth.arrival())
+            self._send_last_byte(connection.to_node.arrival())
 
     @deferred_while_suspended
-    def _let_go(self, first: int) -> None:
-        line = self.connection
-        if self.finished or line is None:
+    def _send_held_byte(self, first_byte_at: int) -> None:
+        connection = self.connection
+        if self.finished or connection is None:
             return
-        if not line.dead:
-            return self._last_byte(first)
-        line.close()
+        if not connection.dead:
+            return self._send_last_byte(first_byte_at)
+        connection.close()
         self.connection = None
-        self.hand_over()  # no attempt has reached the node: the same one goes by the next connection
+        self.send()  # the node never had the whole request, so the same attempt is sent on the next connection
 
-    def _last_byte(self, first: int) -> None:
+    def _send_last_byte(self, first_byte_at: int) -> None:
         assert self.connection
         self.written = True
-        self.connection.forth.send(self.connection.place.arrive, self.connection, self, first)
+        self.connection.to_node.send(
+            self.connection.simulated_node.arrive, self.connection, self, first_byte_at
+        )
 
     @deferred_while_suspended
-    def _late(self) -> None:
-        self.stop(status_for_timeout(self.written))
+    def _timed_out(self) -> None:
+        self.finish(status_for_timeout(self.written))
 
     @deferred_while_suspended
-    def _in_vain(self) -> None:
-        self.stop(Status.CONNECT_FAILED)
+    def _connect_timed_out(self) -> None:
+        self.finish(Status.CONNECT_FAILED)
 
-    def stop(self, status: Status, report: tuple[float, ...] = (), token: str = "") -> None:
+    def finish(self, status: Status, report: tuple[float, ...] = (), token: str = "") -> None:
         if self.finished:
             return
         self.end()
@@ -213,80 +226,87 @@
 
 
 class NodeConnectionPool:
-    """The desk's floor. `most`: connections open at once."""
+    """Carries out the dispatcher's attempts. `max_connections`: connections open at once."""
 
-    def __init__(self, proxy: Proxy, most: int) -> None:
+    def __init__(self, proxy: Proxy, max_connections: int) -> None:
         self.proxy, self.context, self.clock, self.max_connections = (
             proxy,
             proxy.context,
             proxy.context.clock,
-            most,
+            max_connections,
         )
         self.connect_us = self.context.scenario.proxy.connect_timeout
         idle = self.context.scenario.proxy.idle_close
-        self.keep_us = max(idle - CLOSE_EARLY_US, idle * 4 // 5)  # the node must not be the one to close it
+        # The proxy has to close an idle connection before the node does.
+        self.idle_timeout_us = max(idle - IDLE_CLOSE_MARGIN_US, idle * 4 // 5)
         self.open_connections = 0
         self.addresses: dict[int, str] = {}
-        self.nodes: dict[int, PooledNode] = {}  # those that have been sent to
+        self.nodes: dict[int, PooledNode] = {}  # nodes that have been sent an attempt
         self.exchanges: dict[AttemptExchange, None] = {}
 
-    # ------------------------------------------------------------ what the node list tells
+    # ------------------------------------------------------------ changes of the node list
 
     def set_node(self, endpoint: int, address: str) -> None:
-        """The address of a node; connections to where it was are of no more use."""
+        """Sets the address of a node. Idle connections to its old address are closed."""
         self.addresses[endpoint] = address
-        machine = self.nodes.get(endpoint)
-        if machine and machine.address != address:
-            machine.address, machine.place = address, self.context.by_address[address]
-            self._close_idle(machine)
+        node = self.nodes.get(endpoint)
+        if node and node.address != address:
+            node.address, node.simulated_node = address, self.context.nodes_by_address[address]
+            self._close_idle(node)
 
     def close_node(self, endpoint: int) -> None:
-        """The node drains or is gone; calls to it may still be out."""
-        if machine := self.nodes.get(endpoint):
-            self._close_idle(machine)
+        """The node is draining or gone: closes its idle connections. Attempts in progress go on."""
+        if node := self.nodes.get(endpoint):
+            self._close_idle(node)
 
-    def _close_idle(self, machine: PooledNode) -> None:
-        for line in list(machine.idle):
-            self.drop(line)
+    def _close_idle(self, node: PooledNode) -> None:
+        for connection in list(node.idle):
+            self.drop(connection)
 
-    def drop(self, line: NodeConnection) -> None:
-        if line in line.node.idle:
-            line.node.idle.remove(line)
-        line.close()
+    def drop(self, connection: NodeConnection) -> None:
+        if connection in connection.node.idle:
+            connection.node.idle.remove(connection)
+        connection.close()
 
-    # ------------------------------------------------------------ what the desk wants
+    # ------------------------------------------------------------ commands of the dispatcher
 
     def send(self, attempt: Attempt) -> None:
-        machine = self._machine(attempt.endpoint)
-        if machine is None:
+        node = self._pooled_node(attempt.endpoint)
+        if node is None:
             return self.proxy.attempt_ended(attempt, Status.MOOT, (), "")
-        errand = attempt.exchange = AttemptExchange(self, attempt, machine)
-        self.exchanges[errand] = None
-        errand.hand_over()
-
-    def _machine(self, endpoint: int) -> PooledNode | None:
-        machine = self.nodes.get(endpoint)
-        if machine is None and (address := self.addresses.get(endpoint)):
-            machine = self.nodes[endpoint] = PooledNode(endpoint, address, self.context.by_address[address])
-        return machine
+        exchange = attempt.exchange = AttemptExchange(self, attempt, node)
+        self.exchanges[exchange] = None
+        exchange.send()
+
+    def _pooled_node(self, endpoint: int) -> PooledNode | None:
+        node = self.nodes.get(endpoint)
+        if node is None and (address := self.addresses.get(endpoint)):
+            node = self.nodes[endpoint] = PooledNode(
+                endpoint, address, self.context.nodes_by_address[address]
+            )
+        return node
 
     def cancel(self, attempt: Attempt) -> None:
         if attempt.exchange:
-            attempt.exchange.stop(Status.CANCELLED)
+            attempt.exchange.finish(Status.CANCELLED)
 
     # ------------------------------------------------------------ connections
 
-    def connect(self, machine: PooledNode, errand: AttemptExchange) -> NodeConnection | None:
-        """A new connection, not yet up, which takes one round trip at the least; None where there are too
-        many already. The oldest idle one anywhere makes room."""
+    def connect(self, node: PooledNode, exchange: AttemptExchange) -> NodeConnection | None:
+        """Opens a connection, which takes at least one round trip to be established. At the limit, the
+        idle connection that expires first is closed to make room; None if no connection is idle."""
         if self.open_connections >= self.max_connections and not self._make_room():
             return None
-        line = NodeConnection(self, machine, errand)
+        connection = NodeConnection(self, node, exchange)
         self.open_connections += 1
-        trips = self.context.scenario.network.handshake_trips
-        line.ready = self.clock.now + round(trips * 2 * self.context.network.near()) if trips > 1 else 0
-        line.forth.send(line.place.knock, line, self.proxy.name)
-        return line
+        round_trips = self.context.scenario.network.handshake_trips
+        connection.ready = (
+            self.clock.now + round(round_trips * 2 * self.context.network.internal_delay())
+            if round_trips > 1
+            else 0
+        )
+        connection.to_node.send(connection.simulated_node.connection_requested, connection, self.proxy.name)
+        return connection
 
     def _make_room(self) -> bool:
         idle = [(m.idle[0].expires, n) for n, m in self.nodes.items() if m.idle]
@@ -294,19 +314,22 @@
             self.drop(self.nodes[min(idle)[1]].idle[0])
         return bool(idle)
 
-    def release(self, line: NodeConnection) -> None:
-        """After an answer: kept for the next call, unless the node has moved or leaves."""
-        machine = line.node
-        if line.place is not machine.place or machine.endpoint in self.proxy.dispatcher.unavailable_since:
-            return line.close()
-        line.used = True
-        line.expires = self.clock.now + self.keep_us
-        machine.idle.append(line)
-        line.watch()
+    def release(self, connection: NodeConnection) -> None:
+        """Keeps a connection for the next attempt after an answer, unless the node has moved, drains or is gone."""
+        node = connection.node
+        if (
+            connection.simulated_node is not node.simulated_node
+            or node.endpoint in self.proxy.dispatcher.unavailable_since
+        ):
+            return connection.close()
+        connection.used = True
+        connection.expires = self.clock.now + self.idle_timeout_us
+        node.idle.append(connection)
+        connection.schedule_expiry()
 
     def close(self) -> None:
-        """The process ends: all connections with it, and nobody is told."""
-        for errand in list(self.exchanges):
-            errand.end()
-        for machine in self.nodes.values():
-            self._close_idle(machine)
+        """The process ends: closes all connections without reporting the attempts."""
+        for exchange in list(self.exchanges):
+            exchange.end()
+        for node in self.nodes.values():
+            self._close_idle(node)
--- a/slatelab/model/run.py
+++ b/slatelab/model/run.py
@@ -1,6 +1,5 @@
-"""Puts a day of the plant together and plays it. It owns the order in which the parts come to be, when the
-day is over, and who watches. It must never read a clock: the same scenario and seed give the same records,
-byte for byte."""
+"""Builds and runs a simulation: creates its parts in order, decides when it is complete, and reports progress. It
+never reads a clock: the same scenario and seed give the same records, byte for byte."""
 
 from __future__ import annotations
 
@@ -23,114 +22,117 @@
 from .simulated_node import SimulatedNode
 from .world import SimulationContext
 
-TICK_US = 100_000
-LOOK_US = 50_000  # between two looks whether all is quiet at the end
-MOST_LATENCIES = 2_000  # in one tick
+PROGRESS_INTERVAL_US = 100_000
+IDLE_CHECK_INTERVAL_US = 50_000  # between two checks at the end whether all nodes are idle
+MAX_LATENCIES_PER_TICK = 2_000
 
 
 def run(scenario: Scenario, seed: int, folder: Path, watch: ProgressCallback | None) -> Recording:
-    """Plays the whole day. `folder` is where trace files of arrivals are; `watch` is called ten times a
-    second of the day's time. Raises ScenarioError for a scenario that cannot be played."""
-    day = Simulation(scenario, seed, folder, watch)
-    day.run()
-    world = day.context
-    return Recording("model", seed, world.records, world.clock.events - day.ticks, 0, world.notes)
+    """Runs the whole scenario. `folder` is where trace files of arrivals are; `watch` is called ten times per second
+    of virtual time. Raises ScenarioError for a scenario that cannot be run."""
+    simulation = Simulation(scenario, seed, folder, watch)
+    simulation.run()
+    context = simulation.context
+    return Recording(
+        "model", seed, context.records, context.clock.events - simulation.ticks, 0, context.notes
+    )
 
 
 class Simulation:
-    """Everything is put in its place at the moment 0: nodes, the list of them, proxies, then callers."""
+    """Creates everything at time 0: nodes, the list of them, proxies, then clients."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path, watch: ProgressCallback | None) -> None:
         self.context, self._watch, self.ticks = SimulationContext(scenario, seed), watch, 0
-        self._end = self.context.clock.event()
+        self._ended = self.context.clock.event()
         nodes = build_nodes(scenario, self.context.random_streams)
-        posts = build_proxies(scenario, nodes)
-        todays = generate_orders(scenario, self.context.random_streams, folder)
+        proxy_specs = build_proxies(scenario, nodes)
+        orders = generate_orders(scenario, self.context.random_streams, folder)
         self._faults = Faults(
-            self.context, schedules.build_fault_schedule(scenario, self.context.random_streams, nodes, posts)
+            self.context,
+            schedules.build_fault_schedule(scenario, self.context.random_streams, nodes, proxy_specs),
         )
-        self._put_up(nodes)
-        front = self._man(posts)
-        self.clients = Clients(self.context, front, todays, self._settled)
+        self._create_nodes(nodes)
+        balancer = self._create_proxies(proxy_specs)
+        self.clients = Clients(self.context, balancer, orders, self._clients_finished)
         if watch:
             self.clients.latencies = []
             self.context.clock.call_at(0, self._tick)
 
-    def _put_up(self, nodes: list[NodeSpec]) -> None:
-        world, keys = self.context, count(1)
-        world.discovery = Discovery(world)
+    def _create_nodes(self, nodes: list[NodeSpec]) -> None:
+        context, keys = self.context, count(1)
+        context.discovery = Discovery(context)
         for spec in nodes:
-            place = world.simulated_nodes[spec.id] = SimulatedNode(world, spec, keys)
-            world.by_address[place.address] = place
-            place.start(False, self._faults.active_faults.conditions_for(spec.id))
-        for aside in world.discovery.asides:
-            here = [place for place in world.simulated_nodes.values() if place.spec.tier == aside.tier]
-            aside.rows = tuple(self._row(place) for place in here)
-
-    def _man(self, posts: list[ProxySpec]) -> ConnectionBalancer:
-        world, entries = self.context, Entries(self.context)
-        for spec in posts:
-            world.proxy_supervisors[spec.name] = ProxySupervisor(world, spec, entries)
+            node = context.simulated_nodes[spec.id] = SimulatedNode(context, spec, keys)
+            context.nodes_by_address[node.address] = node
+            node.start(False, self._faults.active_faults.conditions_for(spec.id))
+        for poller in context.discovery.pollers:
+            tier_nodes = [node for node in context.simulated_nodes.values() if node.spec.tier == poller.tier]
+            poller.rows = tuple(self._registry_entry(node) for node in tier_nodes)
+
+    def _create_proxies(self, proxy_specs: list[ProxySpec]) -> ConnectionBalancer:
+        context, entries = self.context, Entries(self.context)
+        for spec in proxy_specs:
+            context.proxy_supervisors[spec.name] = ProxySupervisor(context, spec, entries)
             if spec.owner_node:
-                world.simulated_nodes[spec.owner_node].own = world.proxy_supervisors[spec.name]
-        front = ConnectionBalancer(
-            world, [post for post in world.proxy_supervisors.values() if not post.spec.tier]
+                context.simulated_nodes[spec.owner_node].own_proxy = context.proxy_supervisors[spec.name]
+        balancer = ConnectionBalancer(
+            context,
+            [supervisor for supervisor in context.proxy_supervisors.values() if not supervisor.spec.tier],
         )
-        world.front_changes = front.changes
-        for post in world.proxy_supervisors.values():
-            post.ready()
-        return front
+        context.on_proxy_change = balancer.proxy_changed
+        for supervisor in context.proxy_supervisors.values():
+            supervisor.ready()
+        return balancer
 
-    def _row(self, place: SimulatedNode) -> RegistryEntry:
-        return RegistryEntry(place.spec.id, "SERVING", place.address, 0)
+    def _registry_entry(self, node: SimulatedNode) -> RegistryEntry:
+        return RegistryEntry(node.spec.id, "SERVING", node.address, 0)
 
     def run(self) -> None:
-        self.context.clock.run(until=self._end)
+        self.context.clock.run(until=self._ended)
         if self._watch:
-            self._show(self._watch)
+            self._report_progress(self._watch)
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ completion
 
-    def _settled(self) -> None:
-        """No client waits any more. What nodes still do is seen to its end, for the time of the longest
-        deadline."""
+    def _clients_finished(self) -> None:
+        """All clients have finished. Work that is left on nodes may go on for the longest deadline."""
         deadline = max(cls.deadline for cls in self.context.scenario.classes)
-        self._look(self.context.clock.now + deadline)
+        self._stop_when_idle(self.context.clock.now + deadline)
 
-    def _look(self, last: int) -> None:
-        day = self.context.clock
+    def _stop_when_idle(self, latest: int) -> None:
+        clock = self.context.clock
         busy = self.context.open_calls or any(
             p.simulator and p.simulator.pending_requests for p in self.context.simulated_nodes.values()
         )
-        if busy and day.now < last:
-            day.call_at(day.now + LOOK_US, self._look, last)
+        if busy and clock.now < latest:
+            clock.call_at(clock.now + IDLE_CHECK_INTERVAL_US, self._stop_when_idle, latest)
             return
-        for place in self.context.simulated_nodes.values():
-            for out in list(place.outs.values()):
-                out.give_up()
-        self._end.succeed()
+        for node in self.context.simulated_nodes.values():
+            for exchange in list(node.downstream_exchanges.values()):
+                exchange.give_up()
+        self._ended.succeed()
 
-    # ------------------------------------------------------------ whoever watches
+    # ------------------------------------------------------------ progress
 
     def _tick(self) -> None:
         assert self._watch
         self.ticks += 1
-        self._show(self._watch)
-        self.context.clock.call_at(self.context.clock.now + TICK_US, self._tick)
+        self._report_progress(self._watch)
+        self.context.clock.call_at(self.context.clock.now + PROGRESS_INTERVAL_US, self._tick)
 
-    def _show(self, watch: ProgressCallback) -> None:
+    def _report_progress(self, watch: ProgressCallback) -> None:
         clients = self.clients
         latencies, clients.latencies = clients.latencies or [], []
         nodes = tuple(
-            (place.spec.id, place.state, place.simulator.pending_requests if place.simulator else 0)
-            for place in self.context.simulated_nodes.values()
+            (node.spec.id, node.state, node.simulator.pending_requests if node.simulator else 0)
+            for node in self.context.simulated_nodes.values()
         )
-        tick = ProgressSnapshot(
+        snapshot = ProgressSnapshot(
             self.context.clock.now,
             self.context.scenario.scenario.duration,
-            clients.begun,
-            latencies_us=tuple(latencies[:MOST_LATENCIES]),
+            clients.started,
+            latencies_us=tuple(latencies[:MAX_LATENCIES_PER_TICK]),
             nodes=nodes,
             **clients.counts,
         )
-        watch(tick)
+        watch(snapshot)
--- a/slatelab/model/simulated_node.py
+++ b/slatelab/model/simulated_node.py
@@ -1,6 +1,6 @@
-"""A place of the plant: the node that stands there now, the connections to it, and its calls to the next
-tier. It owns the facts that a node sees; what the node does is NodeSimulator's, and what befalls the place is
-told by `faults`."""
+"""A node of the simulation across restarts and replacements: its present process, the connections to it, and its
+calls to the next tier. This module records what the node sees. NodeSimulator decides how the node behaves, and `faults`
+applies faults to it."""
 
 from __future__ import annotations
 
@@ -23,248 +23,265 @@
 
 
 class Task:
-    """An attempt on the node. Its line is None once the caller has left."""
+    """An attempt on the node. `connection` is None once the proxy has closed it."""
 
-    __slots__ = ("ask", "begun", "connection", "proxy")
+    __slots__ = ("client_request", "started", "connection", "proxy")
 
-    def __init__(self, ask: ClientRequest, proxy: str, line: NodeConnection) -> None:
-        self.ask, self.proxy, self.begun = ask, proxy, False
-        self.connection: NodeConnection | None = line
+    def __init__(self, client_request: ClientRequest, proxy: str, connection: NodeConnection) -> None:
+        self.client_request, self.proxy, self.started = client_request, proxy, False
+        self.connection: NodeConnection | None = connection
 
 
 class SimulatedNode:
-    """`own`: the proxy through which its node calls the next tier, None where it calls nobody."""
+    """`own_proxy`: the proxy through which the node calls the next tier, None if it makes no calls. `isolated`: the
+    node is in a black hole, and nothing reaches it or leaves it."""
 
-    def __init__(self, world: SimulationContext, spec: NodeSpec, keys: count[int]) -> None:
-        self.context, self.clock, self.spec, self.name = world, world.clock, spec, spec.id
+    def __init__(self, context: SimulationContext, spec: NodeSpec, keys: count[int]) -> None:
+        self.context, self.clock, self.spec, self.name = context, context.clock, spec, spec.id
         self.address = f"{spec.address}:{PORT}"
-        self.own: ProxySupervisor | None = None
+        self.own_proxy: ProxySupervisor | None = None
         self.life = 0
         self.simulator: NodeSimulator | None = None
         self.condition: dict[str, Any] = {}
-        self.cut = self.draining = False
-        self.connections: dict[NodeConnection, None] = {}  # that the node's side takes for open
+        self.isolated = self.draining = False
+        self.connections: dict[NodeConnection, None] = {}  # open as seen from the node
         self.tasks: dict[int, Task] = {}
-        self.outs: dict[tuple[int, int], DownstreamExchange] = {}
+        self.downstream_exchanges: dict[tuple[int, int], DownstreamExchange] = {}
         self._keys = keys
         self._wake: ScheduledCall | None = None
 
-    # ------------------------------------------------------------ lives
+    # ------------------------------------------------------------ starts and stops
 
     def start(self, cold: bool, condition: dict[str, Any]) -> None:
-        """A life begins."""
+        """Starts a new life of the node."""
         spec, kind = self.spec, self.spec.kind
         rng = self.context.random_streams.stream("node", spec.id, self.life)
         self.simulator = NodeSimulator(self.context.scenario, spec, rng, self.clock.now, self.life, cold)
         self.draining = False
         share, span = (kind.cold.share, kind.cold.span) if cold else (1.0, 0)
         self.context.specs[spec.id] = spec
-        self.context.say(
+        self.context.add_record(
             Up(self.clock.now, spec.id, self.life, spec.tier, kind.cores * spec.speed, share, span)
         )
         self.set_condition(condition)
-        self._enlist("SERVING", self.clock.now if cold else 0)
+        self._publish_state("SERVING", self.clock.now if cold else 0)
 
     def restart(self, renewed: bool, condition: dict[str, Any]) -> None:
-        """Starts the node again, or another in its place, cold. Nothing if it is up. Its own proxy has been
-        started before, so as to be ready by now."""
+        """Starts the node again, or a replacement for it, cold. No effect if it is up. Its own proxy counts as started
+        earlier, so that it is ready at this time."""
         if self.simulator is None:
             self.life += 1
             if renewed:
                 self.spec = replacement(self.spec, self.life)
-            if self.own and not self.own.proxy:
-                self.own.ready()
+            if self.own_proxy and not self.own_proxy.proxy:
+                self.own_proxy.ready()
             self.start(True, condition)
 
-    def crash(self, why: str) -> None:
-        """The process dies: connections are reset, new ones refused. Nothing if it is down."""
+    def crash(self, reason: str) -> None:
+        """The process dies: connections are reset, new ones are refused. No effect if it is down."""
         if self.simulator is None:
             return
         self.simulator = None
-        self._rest()
-        self.context.say(Down(self.clock.now, self.spec.id, self.life, why))
-        self._enlist("DELETED", 0)
+        self._cancel_wake()
+        self.context.add_record(Down(self.clock.now, self.spec.id, self.life, reason))
+        self._publish_state("DELETED", 0)
         self.tasks.clear()
-        for out in list(self.outs.values()):
-            out.give_up()
-        if self.own:
-            self.own.kill()
-        if not self.cut:  # else its caller hears of nothing until the machine is back
-            self._break_all()
+        for exchange in list(self.downstream_exchanges.values()):
+            exchange.give_up()
+        if self.own_proxy:
+            self.own_proxy.kill()
+        if not self.isolated:  # in a black hole the resets are sent once the machine is reachable again
+            self._reset_all()
 
-    def _enlist(self, phase: str, since: int) -> None:
-        self.context.discovery.set(self.spec, self.address, phase, since)
+    def _publish_state(self, phase: str, since: int) -> None:
+        self.context.discovery.set_node_state(self.spec, self.address, phase, since)
 
-    def _rest(self) -> None:
+    def _cancel_wake(self) -> None:
         if self._wake:
             self._wake.cancel()
             self._wake = None
 
-    # ------------------------------------------------------------ what befalls it
+    # ------------------------------------------------------------ faults
 
     def set_condition(self, condition: dict[str, Any]) -> None:
-        """What lies on the node now, all of it: see NodeSimulator.set_conditions."""
+        """Sets all conditions of the node at once: see NodeSimulator.set_conditions."""
         self.condition = condition
         if self.simulator:
-            self._do(self.simulator.set_conditions(self.clock.now, **condition))
+            self._handle_outputs(self.simulator.set_conditions(self.clock.now, **condition))
 
     def drain(self) -> None:
         if self.simulator:
             self.draining = True
-            self._do(self.simulator.set_conditions(self.clock.now, draining=True))
-            self._enlist("DRAINING", 0)
+            self._handle_outputs(self.simulator.set_conditions(self.clock.now, draining=True))
+            self._publish_state("DRAINING", 0)
 
     def end_isolation(self) -> None:
-        """The machine is back from a black hole: its old connections are reset."""
-        if self.cut:
-            self.cut = False
-            self._break_all()
+        """The black hole ends: the old connections are reset."""
+        if self.isolated:
+            self.isolated = False
+            self._reset_all()
 
-    def break_some(self, share: float, name: str) -> None:
-        """Each open connection is reset with this chance."""
+    def reset_connections(self, share: float, name: str) -> None:
+        """Resets each open connection with the probability `share`."""
         rng = self.context.random_streams.stream("reset", self.name, name)
-        for line in [line for line in self.connections if rng.random() < share]:
-            if not self.cut:
-                self._break(line)
+        for connection in [connection for connection in self.connections if rng.random() < share]:
+            if not self.isolated:
+                self._reset_connection(connection)
 
-    def _break_all(self) -> None:
-        for line in list(self.connections):
-            self._break(line)
+    def _reset_all(self) -> None:
+        for connection in list(self.connections):
+            self._reset_connection(connection)
 
-    def _break(self, line: NodeConnection) -> None:
-        self._part(line)
-        line.back.send(line.broken)
+    def _reset_connection(self, connection: NodeConnection) -> None:
+        self._remove_connection(connection)
+        connection.to_proxy.send(connection.broken)
 
     @property
     def state(self) -> str:
-        """For whoever watches."""
-        lies = self.condition
-        words = (
-            ("down", self.simulator is None), ("black hole", self.cut), ("frozen", lies.get("frozen")),
-            ("draining", self.draining), ("errors", lies.get("errors")), ("slow", lies.get("slow", 1) != 1),
+        """The node's state as shown in progress reports."""
+        condition = self.condition
+        states = (
+            ("down", self.simulator is None), ("black hole", self.isolated), ("frozen", condition.get("frozen")),
+            ("draining", self.draining), ("errors", condition.get("errors")), ("slow", condition.get("slow", 1) != 1),
             ("cold", self.simulator and self.simulator.available_capacity(self.clock.now) < 1),
         )  # fmt: skip
-        return next((word for word, holds in words if holds), "warm")
+        return next((state for state, holds in states if holds), "warm")
 
     # ------------------------------------------------------------ connections and attempts
 
-    def knock(self, line: NodeConnection, proxy: str) -> None:
-        """A proxy wants a connection."""
-        if self.cut:
-            return  # nothing is said: its own limit of time ends the wait
+    def connection_requested(self, connection: NodeConnection, proxy: str) -> None:
+        """A proxy opens a connection."""
+        if self.isolated:
+            return  # no reply: the proxy's connect timeout ends the wait
         if self.simulator is None or not self.simulator.connect(self.clock.now, proxy):
-            line.back.send(line.refused)
+            connection.to_proxy.send(connection.refused)
             return
-        line.life, line.back.last = self.life, line.ready
-        self.connections[line] = None
-        line.back.send(line.up)
+        connection.life, connection.to_proxy.last = self.life, connection.ready
+        self.connections[connection] = None
+        connection.to_proxy.send(connection.established)
         self._set_wake()
 
-    def part(self, line: NodeConnection) -> None:
-        """The caller's end of the connection has been closed."""
-        if line in self.connections and not self.cut:
-            self._part(line)
+    def connection_closed(self, connection: NodeConnection) -> None:
+        """The proxy has closed its side of the connection."""
+        if connection in self.connections and not self.isolated:
+            self._remove_connection(connection)
 
-    def _part(self, line: NodeConnection) -> None:
-        del self.connections[line]
-        if self.simulator is None or line.life != self.life:
+    def _remove_connection(self, connection: NodeConnection) -> None:
+        del self.connections[connection]
+        if self.simulator is None or connection.life != self.life:
             return
-        self._do(self.simulator.advance(self.clock.now))  # what has begun by now counts as begun
-        self.simulator.disconnect(self.clock.now, line.proxy)
-        if task := self.tasks.get(line.key):
+        # Work that starts at this instant counts as started.
+        self._handle_outputs(self.simulator.advance(self.clock.now))
+        self.simulator.disconnect(self.clock.now, connection.proxy)
+        if task := self.tasks.get(connection.key):
             task.connection = None
-            # What has begun goes on to its reply; what waits does so only where nobody drops it.
-            if self.spec.kind.drops_cancelled and not task.begun:
-                del self.tasks[line.key]
-            self._do(self.simulator.cancel(self.clock.now, line.key))
-
-    def arrive(self, line: NodeConnection, errand: AttemptExchange, first: int) -> None:
-        """The last byte of an attempt has come, its first at `first`."""
-        if self.cut or line not in self.connections or self.simulator is None:
+            # Started work goes on to its reply; waiting work does so only on nodes that don't drop cancelled requests.
+            if self.spec.kind.drops_cancelled and not task.started:
+                del self.tasks[connection.key]
+            self._handle_outputs(self.simulator.cancel(self.clock.now, connection.key))
+
+    def arrive(self, connection: NodeConnection, exchange: AttemptExchange, first_byte_at: int) -> None:
+        """The last byte of an attempt has arrived; its first byte arrived at `first_byte_at`."""
+        if self.isolated or connection not in self.connections or self.simulator is None:
             return
         now = self.clock.now
-        ask: ClientRequest = errand.attempt.job.request
-        key = line.key = next(self._keys)
-        self.tasks[key] = Task(ask, line.proxy, line)
+        client_request: ClientRequest = exchange.attempt.job.request
+        key = connection.key = next(self._keys)
+        self.tasks[key] = Task(client_request, connection.proxy, connection)
         call = NodeRequest(
-            key, ask.request, line.proxy, ask.cls, ask.order_seed, ask.order_work_us, ask.path, errand.until
+            key,
+            client_request.request,
+            connection.proxy,
+            client_request.cls,
+            client_request.order_seed,
+            client_request.order_work_us,
+            client_request.path,
+            exchange.until,
         )
-        acts = self.simulator.arrive(now, call)
+        outputs = self.simulator.arrive(now, call)
         work = self.simulator.last_work
-        self.context.say(Came(now, self.spec.id, self.life, ask.request, line.proxy, work, first))
-        self._do(acts)
-
-    # ------------------------------------------------------------ what the node does
-
-    def _do(self, acts: list[NodeOutput]) -> None:
-        for act in acts:
-            if isinstance(act, Reply):
-                self._reply(act)
-            elif isinstance(act, WorkStarted):
-                self._starts(act)
-            elif isinstance(act, DownstreamCall):
-                self._call_out(act)
+        self.context.add_record(
+            Came(now, self.spec.id, self.life, client_request.request, connection.proxy, work, first_byte_at)
+        )
+        self._handle_outputs(outputs)
+
+    # ------------------------------------------------------------ outputs of the node simulator
+
+    def _handle_outputs(self, outputs: list[NodeOutput]) -> None:
+        for output in outputs:
+            if isinstance(output, Reply):
+                self._reply(output)
+            elif isinstance(output, WorkStarted):
+                self._work_started(output)
+            elif isinstance(output, DownstreamCall):
+                self._send_downstream(output)
             else:
                 return self.crash("fell")
         self._set_wake()
 
     def _set_wake(self) -> None:
-        """A wake that comes too early only looks again; so one is set anew only where the time has come
-        nearer."""
+        """Schedules the next wake-up. One that comes too early only checks again, so a scheduled one is replaced only
+        if the new time is earlier."""
         due = self.simulator.next_event_time() if self.simulator else None
         if due is None:
             return
         if self._wake is None or due < self._wake.due:
-            self._rest()
-            self._wake = self.clock.call_at(due, self._turn)
+            self._cancel_wake()
+            self._wake = self.clock.call_at(due, self._wake_up)
 
-    def _turn(self) -> None:
+    def _wake_up(self) -> None:
         self._wake = None
-        machine, now = self.simulator, self.clock.now
-        if machine is None:
+        simulator, now = self.simulator, self.clock.now
+        if simulator is None:
             return
-        due = machine.next_event_time()
+        due = simulator.next_event_time()
         if due is not None and due <= now:
-            self._do(machine.advance(now))
+            self._handle_outputs(simulator.advance(now))
         else:
             self._set_wake()
 
-    def _starts(self, act: WorkStarted) -> None:
-        if task := self.tasks.get(act.key):
-            task.begun = True
-            self.context.say(Began(self.clock.now, self.spec.id, self.life, task.ask.request))
+    def _work_started(self, output: WorkStarted) -> None:
+        if task := self.tasks.get(output.key):
+            task.started = True
+            self.context.add_record(
+                Began(self.clock.now, self.spec.id, self.life, task.client_request.request)
+            )
 
-    def _reply(self, act: Reply) -> None:
-        task = self.tasks.pop(act.key, None)
+    def _reply(self, output: Reply) -> None:
+        task = self.tasks.pop(output.key, None)
         if task is None or task.connection is None or self.simulator is None:
             return
-        line, now = task.connection, self.clock.now
-        line.key = 0
-        if self.cut:
-            return  # written to nobody; the connection is reset once the machine is back
-        line.back.send(line.answered, act.status, act.turned, act.token, self.report())
-        request = task.ask.request
-        self.context.say(
-            Replied(now, self.spec.id, self.life, request, task.proxy, act.status, act.turned, act.token)
+        connection, now = task.connection, self.clock.now
+        connection.key = 0
+        if self.isolated:
+            return  # the reply is lost; the connection is reset when the black hole ends
+        connection.to_proxy.send(
+            connection.answered, output.status, output.turned, output.token, self.report()
+        )
+        request = task.client_request.request
+        self.context.add_record(
+            Replied(
+                now, self.spec.id, self.life, request, task.proxy, output.status, output.turned, output.token
+            )
         )
 
     def report(self) -> tuple[float, ...]:
-        """The load report in the order of the settings' columns, to as many digits as it is written with."""
+        """The load report in the order of the settings' columns, rounded to the digits that are sent."""
         values = self.simulator.load_report(self.clock.now) if self.simulator else {}
         return tuple(round(value, 4) for value in values.values())
 
     # ------------------------------------------------------------ calls to the next tier
 
-    def _call_out(self, act: DownstreamCall) -> None:
-        task = self.tasks.get(act.key)
+    def _send_downstream(self, output: DownstreamCall) -> None:
+        task = self.tasks.get(output.key)
         if task is None:
             return
-        out = DownstreamExchange(self, act, task.ask)
-        self.outs[act.key, act.index] = out
-        out.send()
+        exchange = DownstreamExchange(self, output, task.client_request)
+        self.downstream_exchanges[output.key, output.index] = exchange
+        exchange.send()
 
-    def returned(self, out: DownstreamExchange, ok: bool) -> None:
-        key, index = out.act.key, out.act.index
-        self.outs.pop((key, index), None)
+    def downstream_finished(self, exchange: DownstreamExchange, ok: bool) -> None:
+        key, index = exchange.call.key, exchange.call.index
+        self.downstream_exchanges.pop((key, index), None)
         if self.simulator:
-            self._do(self.simulator.downstream_call_finished(self.clock.now, key, index, ok))
+            self._handle_outputs(self.simulator.downstream_call_finished(self.clock.now, key, index, ok))
--- a/slatelab/model/suspension.py
+++ b/slatelab/model/suspension.py
@@ -1,5 +1,5 @@
-"""A process that is stopped (SIGSTOP): what would have woken it waits, in order, until it goes on. It owns what waits.
-It must never lose or reorder any of it; only the end of the process does."""
+"""A process that is stopped by SIGSTOP: events for it are queued in order until it continues. No event is lost or
+reordered, except that the end of the process discards the queue."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Suspension:
-    """`on`: the process is stopped."""
+    """`active`: the process is stopped. `waiting`: the queued calls."""
 
     def __init__(self) -> None:
-        self.on = False
+        self.active = False
         self.waiting: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
 
-    def stop(self) -> None:
-        self.on = True
+    def suspend(self) -> None:
+        self.active = True
 
-    def go_on(self) -> None:
-        """All that waited happens now, in the order in which it came; it may be stopped again meanwhile."""
-        self.on = False
-        while self.waiting and not self.on:
+    def resume(self) -> None:
+        """Makes the queued calls in order of arrival; one of them may suspend the process again."""
+        self.active = False
+        while self.waiting and not self.active:
             call, args = self.waiting.popleft()
             call(*args)
 
-    def over(self) -> None:
-        self.on = False
+    def clear(self) -> None:
+        self.active = False
         self.waiting.clear()
 
 
@@ -35,15 +35,15 @@
 
 
 def deferred_while_suspended(call: Call) -> Call:
-    """For what comes to a process from without (a timer, bytes, a signal), as a method of something that has its
-    `still`: it meets it when the process runs."""
+    """Decorates a method that handles an event from outside the process (a timer, bytes, a signal), in a class with an
+    attribute `suspension`: while the process is suspended, the call is queued."""
 
     @wraps(call)
-    def meets(self: Any, *args: Any, **named: Any) -> None:
-        still = self.still
-        if still.on:
-            still.waiting.append((partial(call, **named), (self, *args)))
+    def wrapper(self: Any, *args: Any, **kwargs: Any) -> None:
+        suspension = self.suspension
+        if suspension.active:
+            suspension.waiting.append((partial(call, **kwargs), (self, *args)))
         else:
-            call(self, *args, **named)
+            call(self, *args, **kwargs)
 
-    return cast(Call, meets)
+    return cast(Call, wrapper)
--- a/slatelab/model/world.py
+++ b/slatelab/model/world.py
@@ -1,5 +1,5 @@
-"""What all parts of one modelled day share: its time, the scenario, the random streams, the network, the
-facts seen so far, and where everybody is. It owns nothing of what any part does."""
+"""The state that all parts of one simulation share: the clock, the scenario, the random streams, the network, the
+records so far, and the nodes and proxies by name. It has no behaviour of its own."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     from .proxy_supervisor import ProxySupervisor
     from .simulated_node import SimulatedNode
 
-# Where the day stands on the clock that proxies read, in microseconds since 1970, as a real one's would.
-# Guards against code of the module that takes the time 0 for "never".
+# What the proxies' clock shows at virtual time 0, in microseconds since 1970, like a real clock.
+# Guards against code of the decision module that takes the time 0 for "never".
 EPOCH_UNIX_US = 1_700_000_000_000_000
 
 
 class ClientRequest(msgspec.Struct, frozen=True, gc=False):
-    """A request as its caller makes it. `until` is when the caller gives it up."""
+    """A request as its caller (a client or a node) sends it. `until` is when the caller gives up."""
 
     request: str
     attempt: int
@@ -44,7 +44,7 @@
 
 
 class SimulationContext:
-    """Places are known by the id of the node that stood there first, and by their address."""
+    """`simulated_nodes` is keyed by the id of the first node in a position, which replacements don't change."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -52,17 +52,18 @@
         self.clock = VirtualClock()
         self.network = Network(scenario, self.random_streams.stream("network"))
         self.records: list[Record] = []
-        self.say = self.records.append
+        self.add_record = self.records.append
         self.notes: list[str] = []
-        self.specs: dict[str, NodeSpec] = {}  # of every node there has been
+        self.specs: dict[str, NodeSpec] = {}  # of every node, also of replaced ones
         self.simulated_nodes: dict[str, SimulatedNode] = {}
-        self.by_address: dict[str, SimulatedNode] = {}
+        self.nodes_by_address: dict[str, SimulatedNode] = {}
         self.proxy_supervisors: dict[str, ProxySupervisor] = {}
         self.discovery: Discovery
         self.peer_network = SimulatedPeerNetwork(
             self.clock, scenario.fleet, self.random_streams.stream("peers")
         )
-        self.front_changes: Callable[[ProxySupervisor], None]  # a proxy has come or goes
-        self.open_calls = 0  # of nodes, to the next tier
+        # Called when a proxy becomes ready, begins to stop or ends.
+        self.on_proxy_change: Callable[[ProxySupervisor], None]
+        self.open_calls = 0  # open calls of nodes to the next tier
         self.classes = [cls.name for cls in scenario.classes]
         self.tenants = [tenant.name for tenant in scenario.tenants] or [""]
