--- a/slatelab/live/addresses.py
+++ b/slatelab/live/addresses.py
@@ -9,10 +9,14 @@
 
 from slatelab.engine import InvalidRunError
 
-NETS = range(64, 192)
+SECOND_OCTETS = range(64, 192)
 PORTS = range(10_240, 32_000)  # below those that the kernel gives to outgoing connections
-NODES, PROXIES, DISCOVERY = 1, 128, 192  # third bytes from which their addresses count
-PER_NET = 250
+FIRST_NODE_OCTET, FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET = (
+    1,
+    128,
+    192,
+)  # third bytes from which their addresses count
+HOSTS_PER_OCTET = 250
 
 
 class Addresses:
@@ -21,13 +25,13 @@
 
     def __init__(self) -> None:
         self._lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
-        self.net = self._choose()
+        self.second_octet = self._reserve_second_octet()
         self.port = self._free_port()
 
-    def _choose(self) -> int:
+    def _reserve_second_octet(self) -> int:
         start = os.getpid()
-        for i in range(len(NETS)):
-            net = NETS[(start + i) % len(NETS)]
+        for i in range(len(SECOND_OCTETS)):
+            net = SECOND_OCTETS[(start + i) % len(SECOND_OCTETS)]
             try:
                 self._lock.bind(f"\0slatelab-net-{net}")
                 return net
@@ -38,31 +42,36 @@
     def _free_port(self) -> int:
         for i in range(200):
             port = PORTS[(os.getpid() * 37 + i * 101) % len(PORTS)]
-            if all(_free(f"127.{self.net}.{third}.1", port) for third in (NODES, PROXIES, DISCOVERY)):
+            if all(
+                _is_free(f"127.{self.second_octet}.{third}.1", port)
+                for third in (FIRST_NODE_OCTET, FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET)
+            ):
                 return port
-        raise InvalidRunError(f"no free port on 127.{self.net}.0.0/16")
+        raise InvalidRunError(f"no free port on 127.{self.second_octet}.0.0/16")
 
     def close(self) -> None:
         self._lock.close()
 
     def node(self, n: int) -> str:
-        return self._host(NODES, PROXIES, n)
+        return self._host(FIRST_NODE_OCTET, FIRST_PROXY_OCTET, n)
 
     def proxy(self, n: int) -> str:
-        return self._host(PROXIES, DISCOVERY, n)
+        return self._host(FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET, n)
 
     def discovery(self, n: int) -> str:
         """One for each proxy: by it, discovery knows who asks."""
-        return self._host(DISCOVERY, 255, n)
+        return self._host(FIRST_DISCOVERY_OCTET, 255, n)
 
     def _host(self, first: int, end: int, n: int) -> str:
-        third = first + n // PER_NET
+        third = first + n // HOSTS_PER_OCTET
         if third >= end:
-            raise InvalidRunError(f"more than {(end - first) * PER_NET} of one sort: too many for a live run")
-        return f"127.{self.net}.{third}.{n % PER_NET + 1}"
+            raise InvalidRunError(
+                f"more than {(end - first) * HOSTS_PER_OCTET} of one sort: too many for a live run"
+            )
+        return f"127.{self.second_octet}.{third}.{n % HOSTS_PER_OCTET + 1}"
 
 
-def _free(host: str, port: int) -> bool:
+def _is_free(host: str, port: int) -> bool:
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/slatelab/live/client_pool.py
+++ b/slatelab/live/client_pool.py
@@ -14,10 +14,10 @@
 
 import httptools
 
-CONNECT_S = 1.0  # a machine that does not answer is noticed so late
-ANSWER_LIMIT = 256 * 1024
-MOST_TOKEN = 200
-TCP_CLOSE = 7  # tcpi_state once a reset has come (include/net/tcp_states.h)
+CONNECT_TIMEOUT_S = 1.0  # a machine that does not answer is noticed so late
+MAX_RESPONSE_BYTES = 256 * 1024
+MAX_TOKEN_BYTES = 200
+TCP_STATE_CLOSE = 7  # tcpi_state once a reset has come (include/net/tcp_states.h)
 
 
 @dataclass(eq=False, slots=True)
@@ -27,92 +27,92 @@
     to be unread; 0: never."""
 
     data: bytes
-    done: Callable[[Exchange], None]
+    on_finished: Callable[[Exchange], None]
     sent_at: int = 0
     status: int = 0
     body: bytes = b""
     retry_after_us: int = 0
     failure: str = ""
-    over: bool = False
+    finished: bool = False
     resent: bool = False  # has been sent once more already
-    line: Line | None = None
+    connection: ClientConnection | None = None
     pool: ConnectionPool | None = None
 
-    def end(self, why: str = "") -> None:
-        if not self.over:
-            self.over = True
+    def finish(self, why: str = "") -> None:
+        if not self.finished:
+            self.finished = True
             self.failure = why
-            self.line = None
-            self.done(self)
+            self.connection = None
+            self.on_finished(self)
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """The caller no longer wants it: its connection is closed."""
-        if not self.over:
-            self.over = True
-            if self.line:
-                self.line.abort()
+        if not self.finished:
+            self.finished = True
+            if self.connection:
+                self.connection.abort()
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: Transport | None = None
         self.exchange: Exchange | None = None
-        self.last: Exchange | None = None  # whose answer came last
+        self.last_exchange: Exchange | None = None  # whose answer came last
         self.used = False
-        self.blocked = False  # the kernel has not yet taken all of the request
+        self.write_blocked = False  # the kernel has not yet taken all of the request
         self.parser: Any = httptools.HttpResponseParser(self)
         self.status = 0
-        self.framed = False
+        self.has_length = False
         self.retry_after_us = 0
         self.body = bytearray()
-        self.heard = False
+        self.response_started = False
 
     # ------------------------------------------------------------ writing
 
     def connection_made(self, transport: BaseTransport) -> None:
         self.transport = cast(Transport, transport)
-        self.pool.lines.add(self)
+        self.pool.connections.add(self)
         self.transport.set_write_buffer_limits(0)  # written at once, or pause_writing says that it was not
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        self.write_blocked = True
 
     def resume_writing(self) -> None:
-        self.blocked = False
+        self.write_blocked = False
         if self.exchange:
             self.exchange.sent_at = self.pool.now()
 
-    def carry(self, exchange: Exchange) -> None:
+    def send(self, exchange: Exchange) -> None:
         """Writes a request; its end is told to the exchange."""
         assert self.transport and self.exchange is None
         self.exchange = exchange
-        exchange.line = self
-        self.heard = False
+        exchange.connection = self
+        self.response_started = False
         exchange.sent_at = self.pool.now()
         self.transport.write(exchange.data)
-        if self.blocked:
+        if self.write_blocked:
             exchange.sent_at = 0
 
     # ------------------------------------------------------------ reading
 
     def data_received(self, data: bytes) -> None:
-        self.heard = True
+        self.response_started = True
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._broken("malformed answer")
-        if len(self.body) > ANSWER_LIMIT:
-            self._broken("answer too large")
+            self._fail("malformed answer")
+        if len(self.body) > MAX_RESPONSE_BYTES:
+            self._fail("answer too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
         if key in (b"content-length", b"transfer-encoding"):
-            self.framed = True
+            self.has_length = True
         elif key == b"retry-after":
-            self.retry_after_us = seconds(value)
+            self.retry_after_us = parse_retry_after_us(value)
 
     def on_headers_complete(self) -> None:
         self.status = self.parser.get_status_code()
@@ -122,61 +122,61 @@
 
     def on_message_complete(self) -> None:
         if self.status >= 200:
-            self._answered(bool(self.parser.should_keep_alive()))
+            self._complete(bool(self.parser.should_keep_alive()))
 
-    def _answered(self, keep: bool) -> None:
+    def _complete(self, keep: bool) -> None:
         exchange, self.exchange = self.exchange, None
         status, body, wait = self.status, bytes(self.body), self.retry_after_us
-        self.status, self.framed, self.retry_after_us, self.body = 0, False, 0, bytearray()
+        self.status, self.has_length, self.retry_after_us, self.body = 0, False, 0, bytearray()
         if (
             exchange is None
         ):  # nobody has asked: the judge should see it as a second answer to the last request
-            if self.last:
-                self.pool.surplus(self.last, status, body)
+            if self.last_exchange:
+                self.pool.on_unexpected_response(self.last_exchange, status, body)
             return self.abort()
-        self.last = exchange
+        self.last_exchange = exchange
         self.used = True
         exchange.status, exchange.body, exchange.retry_after_us = status, body, wait
-        if keep and not self.blocked:
-            self.pool.rest(self)
+        if keep and not self.write_blocked:
+            self.pool.release(self)
         else:
             self.abort()
-        exchange.end()
+        exchange.finish()
 
     # ------------------------------------------------------------ ends
 
     def eof_received(self) -> None:
-        if self.exchange and self.status >= 200 and not self.framed and not self._reset():
-            self._answered(False)  # an answer that its connection's end ends
+        if self.exchange and self.status >= 200 and not self.has_length and not self._was_reset():
+            self._complete(False)  # an answer that its connection's end ends
         else:
-            self._broken("reset" if self._reset() else "closed")
+            self._fail("reset" if self._was_reset() else "closed")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._broken("closed" if exc is None else "reset")
+        self._fail("closed" if exc is None else "reset")
 
-    def _reset(self) -> bool:
+    def _was_reset(self) -> bool:
         """Whether the peer closed with our bytes unread: then a reset has come right behind the end, which
         alone would only say that it closed."""
         assert self.transport
         sock = self.transport.get_extra_info("socket")
-        return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_CLOSE)
+        return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_STATE_CLOSE)
 
-    def _broken(self, why: str) -> None:
+    def _fail(self, why: str) -> None:
         exchange, self.exchange = self.exchange, None
-        unread = self.used and not self.heard and why == "reset"
+        unread = self.used and not self.response_started and why == "reset"
         self.abort()
-        if exchange is None or exchange.over:
+        if exchange is None or exchange.finished:
             return
         if not unread or exchange.resent:
-            return exchange.end(why)
+            return exchange.finish(why)
         # Guards against calling lost what the proxy never read, as it closed a connection that rested.
         exchange.resent = True
         exchange.sent_at = 0
-        exchange.line = None
-        self.pool.open(exchange)
+        exchange.connection = None
+        self.pool.connect(exchange)
 
     def abort(self) -> None:
-        self.pool.gone(self)
+        self.pool.remove(self)
         if self.transport:
             self.transport.abort()
 
@@ -194,65 +194,65 @@
         self.loop = loop
         self.now = now
         self.address = address
-        self.surplus = surplus
-        self.idle: list[Line] = []
-        self.lines: set[Line] = set()
-        self.opening: dict[asyncio.Task[None], Exchange] = {}
+        self.on_unexpected_response = surplus
+        self.idle: list[ClientConnection] = []
+        self.connections: set[ClientConnection] = set()
+        self.connecting: dict[asyncio.Task[None], Exchange] = {}
 
     @property
     def count(self) -> int:
-        return len(self.lines) + len(self.opening)
+        return len(self.connections) + len(self.connecting)
 
     def send(self, exchange: Exchange) -> None:
         """On the connection that rested last, or on a new one."""
         exchange.pool = self
         if self.idle:
-            self.idle.pop().carry(exchange)
+            self.idle.pop().send(exchange)
         else:
-            self.open(exchange)
+            self.connect(exchange)
 
-    def open(self, exchange: Exchange) -> None:
-        task = self.loop.create_task(self._open(exchange))
-        self.opening[task] = exchange
-        task.add_done_callback(lambda task: self.opening.pop(task, None))
+    def connect(self, exchange: Exchange) -> None:
+        task = self.loop.create_task(self._connect(exchange))
+        self.connecting[task] = exchange
+        task.add_done_callback(lambda task: self.connecting.pop(task, None))
 
-    async def _open(self, exchange: Exchange) -> None:
+    async def _connect(self, exchange: Exchange) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
-                _, line = await self.loop.create_connection(partial(Line, self), *self.address)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, line = await self.loop.create_connection(partial(ClientConnection, self), *self.address)
         except ConnectionRefusedError:
-            return exchange.end("refused")
+            return exchange.finish("refused")
         except TimeoutError:
-            return exchange.end("never came up")
+            return exchange.finish("never came up")
         except OSError as problem:
-            return exchange.end(f"no connection: {problem.strerror}")
-        if exchange.over:  # given up meanwhile
-            self.rest(line)
+            return exchange.finish(f"no connection: {problem.strerror}")
+        if exchange.finished:  # given up meanwhile
+            self.release(line)
         elif line.transport is None or line.transport.is_closing():
-            exchange.end("reset")
+            exchange.finish("reset")
         else:
-            line.carry(exchange)
+            line.send(exchange)
 
-    def rest(self, line: Line) -> None:
+    def release(self, line: ClientConnection) -> None:
         self.idle.append(line)
 
-    def gone(self, line: Line) -> None:
-        self.lines.discard(line)
+    def remove(self, line: ClientConnection) -> None:
+        self.connections.discard(line)
         if line in self.idle:
             self.idle.remove(line)
 
     def close(self) -> None:
         """Breaks all connections off; what is on them is not told its end."""
-        for task, exchange in list(self.opening.items()):
-            exchange.over = True
+        for task, exchange in list(self.connecting.items()):
+            exchange.finished = True
             task.cancel()
-        for line in list(self.lines):
+        for line in list(self.connections):
             if line.exchange:
-                line.exchange.over = True
+                line.exchange.finished = True
             line.abort()
 
 
-def seconds(value: bytes) -> int:
+def parse_retry_after_us(value: bytes) -> int:
     """A Retry-After in microseconds, 0 where it is none."""
     try:
         wait = float(value)
@@ -261,11 +261,11 @@
     return round(wait * 1e6) if 0 < wait < 86_400 else 0
 
 
-def request_of(data: bytes) -> str:
+def request_id_of(data: bytes) -> str:
     """The id under which a request was written."""
     return data.partition(b"X-Request-ID: ")[2].partition(b"\r\n")[0].decode()
 
 
-def token_of(body: bytes) -> str:
+def token_from_body(body: bytes) -> str:
     """What a body says of who made it."""
-    return body[:MOST_TOKEN].decode("latin-1")
+    return body[:MAX_TOKEN_BYTES].decode("latin-1")
--- a/slatelab/live/clock.py
+++ b/slatelab/live/clock.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 NONBLOCK_CLOEXEC = os.O_NONBLOCK | os.O_CLOEXEC
-ABSOLUTE = 1  # TFD_TIMER_ABSTIME
+TFD_TIMER_ABSTIME = 1  # TFD_TIMER_ABSTIME
 
 
 def monotonic_us() -> int:
@@ -20,7 +20,7 @@
     return time.monotonic_ns() // 1000
 
 
-class _Spec(ctypes.Structure):
+class _TimerSpec(ctypes.Structure):
     _fields_ = [(name, ctypes.c_long) for name in ("every_s", "every_ns", "at_s", "at_ns")]
 
 
@@ -52,12 +52,12 @@
         self._fd = _libc.timerfd_create(time.CLOCK_MONOTONIC, NONBLOCK_CLOEXEC)
         if self._fd < 0:
             raise OSError(ctypes.get_errno(), "timerfd_create")
-        loop.add_reader(self._fd, self._ring)
+        loop.add_reader(self._fd, self._on_timer)
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000 - self.base
 
-    def at(self, due: int, call: Callable[[], None]) -> ScheduledCall:
+    def call_at(self, due: int, call: Callable[[], None]) -> ScheduledCall:
         """Calls at `due`, never earlier; what is past is called as soon as the loop is free."""
         wake = ScheduledCall(due, call)
         self._count += 1
@@ -79,11 +79,11 @@
     def _arm(self, due: int) -> None:
         self._armed = due
         at = max(1, due + self.base)  # 0 would disarm it
-        spec = _Spec(0, 0, at // 1_000_000, at % 1_000_000 * 1000)
-        if _libc.timerfd_settime(self._fd, ABSOLUTE, ctypes.byref(spec), None):
+        spec = _TimerSpec(0, 0, at // 1_000_000, at % 1_000_000 * 1000)
+        if _libc.timerfd_settime(self._fd, TFD_TIMER_ABSTIME, ctypes.byref(spec), None):
             raise OSError(ctypes.get_errno(), "timerfd_settime")
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         try:
             os.read(self._fd, 8)
         except BlockingIOError:
--- a/slatelab/live/control_channel.py
+++ b/slatelab/live/control_channel.py
@@ -23,17 +23,17 @@
 from slatelab.records import Lagged
 
 from .clock import Clock
-from .facts import Facts
+from .facts import FactWriter
 
-SAMPLE_US = 20_000
-STALL_US = 5_000  # what a sampler tells of
-BEHIND = 1024 * 1024  # bytes that the lab has not yet read: then ticks are left out
-WITHIN_S = 10.0  # for the other side to take a message
+STALL_SAMPLE_US = 20_000
+MIN_STALL_US = 5_000  # what a sampler tells of
+MAX_UNSENT_BYTES = 1024 * 1024  # bytes that the lab has not yet read: then ticks are left out
+SEND_TIMEOUT_S = 10.0  # for the other side to take a message
 
 Message = dict[str, Any]
 
 
-class Lines:
+class LineDecoder:
     """Splits what comes into messages."""
 
     def __init__(self) -> None:
@@ -44,19 +44,19 @@
         return [json.loads(line) for line in whole]
 
 
-class Near:
+class LabChannel:
     """The lab's end."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(WITHIN_S)
+        sock.settimeout(SEND_TIMEOUT_S)
         self.sock = sock
-        self._lines = Lines()
+        self._lines = LineDecoder()
 
-    def tell(self, do: str, **more: Any) -> None:
+    def send(self, do: str, **more: Any) -> None:
         """Raises OSError where the process is gone or does not listen."""
         self.sock.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
 
-    def hear(self) -> list[Message] | None:
+    def receive(self) -> list[Message] | None:
         """What has come; None at the end."""
         data = self.sock.recv(1 << 16)
         return self._lines.feed(data) if data else None
@@ -80,7 +80,7 @@
 
     async def open(self) -> None: ...
 
-    def hear(self, message: Message) -> None: ...
+    def handle_message(self, message: Message) -> None: ...
 
     def tick(self) -> Message | None: ...
 
@@ -102,12 +102,12 @@
         self.loop = loop
         self.name = common.name
         self.clock = Clock(loop, common.base)
-        self.facts = Facts(common.facts)
-        self.by_day = False
+        self.facts = FactWriter(common.facts)
+        self.uses_day_time = False
         self.part: Part | None = None
-        self.worst_us = 0  # stall seen
+        self.max_stall_us = 0  # stall seen
         self.ended: asyncio.Future[int] = loop.create_future()
-        self._lines = Lines()
+        self._lines = LineDecoder()
         self._transport: Transport | None = None
 
     def connection_made(self, transport: BaseTransport) -> None:
@@ -115,35 +115,35 @@
 
     def data_received(self, data: bytes) -> None:
         for message in self._lines.feed(data):
-            self._obey(message)
+            self._handle_message(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end(1)  # the lab is gone
+        self._finish(1)  # the lab is gone
 
-    def say(self, say: str, **more: Any) -> None:
+    def send(self, say: str, **more: Any) -> None:
         assert self._transport
         self._transport.write(json.dumps({"say": say, **more}).encode() + b"\n")
 
-    def invalid(self, text: str) -> None:
+    def report_invalid(self, text: str) -> None:
         """The run cannot be trusted any more."""
-        self.say("invalid", text=text)
+        self.send("invalid", text=text)
 
-    def _obey(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         assert self.part
         if message["do"] == "stop":
             done = self.part.close()
             self.facts.close()
-            self.say("done", worst_us=self.worst_us, **done)
+            self.send("done", worst_us=self.max_stall_us, **done)
             return
         if message["do"] == "go":
-            self._go(message["at"])
-        self.part.hear(message)
+            self._start_day(message["at"])
+        self.part.handle_message(message)
 
-    def _go(self, at: int) -> None:
-        if self.by_day:
+    def _start_day(self, at: int) -> None:
+        if self.uses_day_time:
             self.clock.rebase(at)
-        self.facts.begin(0 if self.by_day else at)
-        self._sample(self.clock.now() + SAMPLE_US)
+        self.facts.begin(0 if self.uses_day_time else at)
+        self._sample(self.clock.now() + STALL_SAMPLE_US)
         self.loop.call_later(0.25, self._tick)
 
     def _sample(self, due: int) -> None:
@@ -151,47 +151,47 @@
 
         def look() -> None:
             now = self.clock.now()
-            if now - due > STALL_US:
+            if now - due > MIN_STALL_US:
                 self.facts.add(Lagged(now, self.name, now - due))
-                self.worst_us = max(self.worst_us, now - due)
-            self._sample(now + SAMPLE_US)
+                self.max_stall_us = max(self.max_stall_us, now - due)
+            self._sample(now + STALL_SAMPLE_US)
 
         if not self.ended.done():
-            self.clock.at(due, look)
+            self.clock.call_at(due, look)
 
     def _tick(self) -> None:
         assert self.part and self._transport
-        if self._transport.get_write_buffer_size() < BEHIND:
+        if self._transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
             if tick := self.part.tick():
-                self.say("tick", **tick)
+                self.send("tick", **tick)
         self.loop.call_later(0.25, self._tick)
 
-    def _end(self, code: int) -> None:
+    def _finish(self, code: int) -> None:
         if not self.ended.done():
             self.ended.set_result(code)
 
-    def fault(self, loop: AbstractEventLoop, context: dict[str, Any]) -> None:
+    def handle_exception(self, loop: AbstractEventLoop, context: dict[str, Any]) -> None:
         """An exception that nobody took: the process must not go on with half of its work undone."""
         problem = context.get("exception")
         loop.default_exception_handler(context)
         if not self.ended.done():
-            self.invalid(
+            self.report_invalid(
                 f"{self.name}: {type(problem).__name__}: {problem}" if problem else context["message"]
             )
-            self._end(1)
+            self._finish(1)
 
 
-async def _play(job: Job, fd: int) -> int:
+async def _run_job(job: Job, fd: int) -> int:
     loop = asyncio.get_running_loop()
     far = HelperChannel(loop, job.context)
-    loop.set_exception_handler(far.fault)
+    loop.set_exception_handler(far.handle_exception)
     sock = socket.socket(fileno=fd)
     await loop.create_connection(lambda: far, sock=sock)
     far.part = job.part(far)
     await far.part.open()
     gc.collect()
     gc.freeze()  # what is loaded now stays: looking through it again and again would only cost pauses
-    far.say("ready")
+    far.send("ready")
     return await far.ended
 
 
@@ -201,10 +201,10 @@
 
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     job: Job = pickle.loads(path.read_bytes())  # written by the lab that started this process
-    code = uvloop.run(_play(job, fd))
+    code = uvloop.run(_run_job(job, fd))
     sys.stdout.flush()
     os._exit(code)
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
+def socket_pair() -> tuple[socket.socket, socket.socket]:
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -29,7 +29,7 @@
 from .control_channel import HelperChannel, JobContext, Message, Part
 from .server_connection import LINGER_0
 
-LONGEST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 PATH = "/v1/endpoints"
 
 
@@ -47,7 +47,7 @@
 class DiscoveryJob:
     context: JobContext
     scenario: Scenario
-    desks: list[DiscoveryEndpoint]
+    endpoints: list[DiscoveryEndpoint]
     nodes: list[tuple[NodeSpec, str]]  # those that stand at the beginning, and their host:port
     unix_us: int  # Unix time where the run's own time begins
     changes: list[FaultEvent]
@@ -56,13 +56,16 @@
         return Discovery(self, far)
 
 
-class Ask(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """A proxy's connection. `ticket` is the call now on it, 0: none."""
 
     def __init__(
-        self, asked: Callable[[Ask, str], None], left: Callable[[Ask], None], desk: DiscoveryEndpoint
+        self,
+        asked: Callable[[DiscoveryConnection, str], None],
+        left: Callable[[DiscoveryConnection], None],
+        desk: DiscoveryEndpoint,
     ) -> None:
-        self.asked, self.left, self.endpoint = asked, left, desk
+        self.on_request, self.on_disconnect, self.endpoint = asked, left, desk
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.call_id = 0
@@ -82,13 +85,13 @@
 
     def on_message_complete(self) -> None:
         url, self.url = self.url, b""
-        self.asked(self, url.decode("latin-1"))
+        self.on_request(self, url.decode("latin-1"))
 
     def eof_received(self) -> None:
-        self.left(self)
+        self.on_disconnect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.left(self)
+        self.on_disconnect(self)
 
     def answer(self, status: str, body: bytes) -> None:
         assert self.transport
@@ -107,28 +110,30 @@
         self.job, self.channel = job, far
         self.registry: Registry
         self.specs = {spec.id: spec for spec, _ in job.nodes}
-        self.calls: dict[int, Ask] = {}  # by ticket
-        self.told: dict[str, set[str]] = {}  # by proxy: the nodes that it was told of last
-        self.tickets = count(1)
-        self._wake: ScheduledCall | None = None
+        self.calls: dict[int, DiscoveryConnection] = {}  # by ticket
+        self.last_listed: dict[str, set[str]] = {}  # by proxy: the nodes that it was told of last
+        self.call_ids = count(1)
+        self._timer: ScheduledCall | None = None
 
     async def open(self) -> None:
         now = self.channel.clock.now()  # one moment for all: so they stand from the beginning
         self.registry = Registry(self.job.scenario, now)
         for spec, where in self.job.nodes:
             self.registry.set_node(now, spec.id, "SERVING", spec.tier, where, 0)
-        for desk in self.job.desks:
+        for desk in self.job.endpoints:
             sock = listener(desk.host, desk.port)
-            await self.channel.loop.create_server(partial(Ask, self._asked, self._left, desk), sock=sock)
+            await self.channel.loop.create_server(
+                partial(DiscoveryConnection, self._handle_request, self._handle_disconnect, desk), sock=sock
+            )
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message["do"] == "change":
-            self._change(self.job.changes[message["n"]])
+            self._apply_fault(self.job.changes[message["n"]])
         elif message["do"] == "set":
-            self._set(message)
-        self._turn()
+            self._set_node(message)
+        self._advance()
 
-    def _set(self, message: Message) -> None:
+    def _set_node(self, message: Message) -> None:
         spec = self.specs[message["place"]]
         node, since = message["node"], message["since"]
         if node not in self.specs:  # it has taken the place of another
@@ -136,7 +141,7 @@
         now = self.channel.clock.now()
         self.registry.set_node(now, node, message["phase"], spec.tier, message["where"], since)
 
-    def _change(self, change: FaultEvent) -> None:
+    def _apply_fault(self, change: FaultEvent) -> None:
         now = self.channel.clock.now()
         if change.kind == "discovery-down":
             for ticket in self.registry.set_down(now, change.is_start):
@@ -149,39 +154,39 @@
 
     # ------------------------------------------------------------ calls
 
-    def _asked(self, ask: Ask, url: str) -> None:
+    def _handle_request(self, ask: DiscoveryConnection, url: str) -> None:
         parts = urlsplit(url)
         if parts.path != PATH:
             return ask.answer("404 Not Found", b"")
         now, query = self.channel.clock.now(), parse_qs(parts.query)
         since = _number(query, "since")
-        wait_ms = min(_number(query, "timeout_ms") or 0, LONGEST_WAIT_MS)
-        ask.call_id = next(self.tickets)
+        wait_ms = min(_number(query, "timeout_ms") or 0, MAX_WAIT_MS)
+        ask.call_id = next(self.call_ids)
         self.calls[ask.call_id] = ask
         if ask.endpoint.proxy:  # the lab itself asks aside
             self.channel.facts.add(Polled(now, ask.endpoint.proxy))
         self.registry.receive_call(
             now, ask.endpoint.proxy, ask.endpoint.tier, since, wait_ms * 1000, ask.call_id
         )
-        self._turn()
+        self._advance()
 
-    def _left(self, ask: Ask) -> None:
+    def _handle_disconnect(self, ask: DiscoveryConnection) -> None:
         if self.calls.pop(ask.call_id, None):
             self.registry.cancel_call(ask.call_id)
         ask.call_id = 0
 
-    def _turn(self) -> None:
+    def _advance(self) -> None:
         """Writes what is ready, and sets the time of the next."""
         for answer in self.registry.advance(self.channel.clock.now()):
             if ask := self.calls.pop(answer.call_id, None):
                 ask.call_id = 0
                 self._write(ask, answer)
-        if self._wake:
-            self._wake.cancel()
+        if self._timer:
+            self._timer.cancel()
         due = self.registry.next_event_time()
-        self._wake = None if due is None else self.channel.clock.at(due, self._turn)
+        self._timer = None if due is None else self.channel.clock.call_at(due, self._advance)
 
-    def _write(self, ask: Ask, answer: RegistryResponse) -> None:
+    def _write(self, ask: DiscoveryConnection, answer: RegistryResponse) -> None:
         if answer.status != 200:
             return ask.answer(f"{answer.status} Service Unavailable", b"")
         members = [
@@ -197,14 +202,14 @@
 
     def _record(self, proxy: str, answer: RegistryResponse) -> None:
         """A node that a whole list leaves out has been told as gone."""
-        now, told = self.channel.clock.now(), self.told.setdefault(proxy, set())
+        now, told = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
         for shown in answer.entries:
             self.channel.facts.add(Told(now, proxy, shown.node, shown.phase, shown.started_at_us))
         here = {shown.node for shown in answer.entries if shown.phase != PHASE_DELETED}
         for node in sorted(told - here) if answer.complete else ():
             self.channel.facts.add(Told(now, proxy, node, PHASE_DELETED))
         gone = {shown.node for shown in answer.entries if shown.phase == PHASE_DELETED}
-        self.told[proxy] = here if answer.complete else (told | here) - gone
+        self.last_listed[proxy] = here if answer.complete else (told | here) - gone
 
     def _unix_ms(self, since_us: int) -> int:
         return (self.job.unix_us + since_us) // 1000 if since_us else 0
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -16,7 +16,7 @@
 
 from slatelab.engine import InvalidRunError
 
-from .control_channel import Job, JobContext, Message, Near, pair
+from .control_channel import Job, JobContext, LabChannel, Message, socket_pair
 from .discovery import DiscoveryJob
 from .load import LoadJob
 from .nodes import NodesJob
@@ -24,22 +24,22 @@
 from .supervisor import Child, ProcessSupervisor
 
 ROOT = Path(__file__).resolve().parents[2]
-STALLED_US = 50_000  # from here on a stall is told to the reader
+REPORTED_STALL_US = 50_000  # from here on a stall is told to the reader
 
 
 class Helper:
     """One emulating process. `done` is what it said at its end, `tick` what it said last of its state."""
 
-    def __init__(self, name: str, near: Near, child: Child, facts: Path) -> None:
-        self.name, self.near, self.child, self.facts = name, near, child, facts
+    def __init__(self, name: str, near: LabChannel, child: Child, facts: Path) -> None:
+        self.name, self.channel, self.child, self.facts = name, near, child, facts
         self.ready = asyncio.Event()
         self.handed_over = asyncio.Event()
-        self.done: Message | None = None
-        self.tick: Message = {}
+        self.final_message: Message | None = None
+        self.last_tick: Message = {}
 
-    def tell(self, do: str, **more: Any) -> None:
+    def send(self, do: str, **more: Any) -> None:
         with suppress(OSError):  # its end is told by its process descriptor
-            self.near.tell(do, **more)
+            self.channel.send(do, **more)
 
 
 class Emulation:
@@ -52,7 +52,7 @@
         said: Callable[[Helper, str, Message], None],
         fail: Callable[[Exception], None],
     ) -> None:
-        self.scratch, self.supervisor, self.said, self.fail = scratch, keeper, said, fail
+        self.scratch, self.supervisor, self.on_message, self.on_failure = scratch, keeper, said, fail
         self.loop = asyncio.get_running_loop()
         self.helpers: list[Helper] = []
 
@@ -61,16 +61,16 @@
     ) -> None:
         """`base`: where the run's own time begins, of CLOCK_MONOTONIC; `unix_us`: the same as Unix time."""
         scenario, changes = plan.scenario, plan.changes
-        stand = [(site.spec, f"{site.host}:{site.port}") for site in plan.sites]
-        desks = [*plan.desks.values(), *plan.asides]
-        doors = [plan.doors[proxy.name] for proxy in plan.proxies if not proxy.tier]
+        stand = [(site.spec, f"{site.host}:{site.port}") for site in plan.locations]
+        desks = [*plan.discovery_endpoints.values(), *plan.lab_endpoints]
+        doors = [plan.proxy_addresses[proxy.name] for proxy in plan.proxies if not proxy.tier]
         common = partial(self._common, base)
         self.discovery = self._start(
             DiscoveryJob(common("discovery"), scenario, desks, stand, unix_us, changes)
         )
         self.nodes = [
             self._start(NodesJob(common(f"nodes-{i}"), scenario, seed, sites, changes))
-            for i, sites in enumerate(plan.shares())
+            for i, sites in enumerate(plan.locations_by_process())
         ]
         self.load = self._start(LoadJob(common("load"), scenario, seed, folder, doors, stall))
 
@@ -80,46 +80,46 @@
     def _start(self, job: Job) -> Helper:
         name, path = job.context.name, self.scratch / f"{job.context.name}.job"
         path.write_bytes(pickle.dumps(job))
-        ours, theirs = pair()
+        ours, theirs = socket_pair()
         command = [sys.executable, "-m", "slatelab.live.helper", str(theirs.fileno()), str(path)]
         env = {**os.environ, "PYTHONPATH": str(ROOT)}  # slatelab as the lab itself has it
         with theirs, (self.scratch / f"{name}.log").open("wb") as log:
             child = self.supervisor.start(
                 name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(theirs.fileno(),)
             )
-        helper = Helper(name, Near(ours), child, job.context.facts)
+        helper = Helper(name, LabChannel(ours), child, job.context.facts)
         self.helpers.append(helper)
-        self.loop.add_reader(ours, self._guarded, self._hear, helper)
-        self.loop.add_reader(child.pidfd, self._guarded, self._ended, helper)
+        self.loop.add_reader(ours, self._guarded, self._receive, helper)
+        self.loop.add_reader(child.pidfd, self._guarded, self._process_exited, helper)
         return helper
 
-    def tell_all(self, do: str, **more: Any) -> None:
+    def send_to_all(self, do: str, **more: Any) -> None:
         for helper in self.helpers:
-            helper.tell(do, **more)
+            helper.send(do, **more)
 
-    def tell_nodes(self, do: str, **more: Any) -> None:
+    def send_to_nodes(self, do: str, **more: Any) -> None:
         for helper in self.nodes:
-            helper.tell(do, **more)
+            helper.send(do, **more)
 
     async def ready(self) -> None:
         await asyncio.gather(*(helper.ready.wait() for helper in self.helpers))
 
     async def hand_over(self) -> None:
-        self.tell_all("stop")
+        self.send_to_all("stop")
         await asyncio.gather(*(helper.handed_over.wait() for helper in self.helpers))
 
     @property
-    def open(self) -> int:
+    def open_calls(self) -> int:
         """Calls of nodes that were under way at the last tick."""
-        return sum(helper.tick.get("open", 0) for helper in self.nodes)
+        return sum(helper.last_tick.get("open", 0) for helper in self.nodes)
 
     def stalls(self) -> list[str]:
         """Lines for the reader of the result."""
-        worst = {helper.name: (helper.done or {}).get("worst_us", 0) for helper in self.helpers}
+        worst = {helper.name: (helper.final_message or {}).get("worst_us", 0) for helper in self.helpers}
         return [
             f"{name} stood still for up to {us / 1000:.0f} ms"
             for name, us in worst.items()
-            if us > STALLED_US
+            if us > REPORTED_STALL_US
         ]
 
     # ------------------------------------------------------------ what they say
@@ -128,37 +128,37 @@
         try:
             call(helper)
         except Exception as problem:
-            self.fail(problem)
+            self.on_failure(problem)
 
-    def _hear(self, helper: Helper) -> None:
-        messages = helper.near.hear()
+    def _receive(self, helper: Helper) -> None:
+        messages = helper.channel.receive()
         if messages is None:
-            self.loop.remove_reader(helper.near.sock)
+            self.loop.remove_reader(helper.channel.sock)
         for message in messages or ():
-            self._take(helper, message)
+            self._handle_message(helper, message)
 
-    def _take(self, helper: Helper, message: Message) -> None:
+    def _handle_message(self, helper: Helper, message: Message) -> None:
         say = message.pop("say")
         if say == "ready":
             helper.ready.set()
         elif say == "done":
-            helper.done = message
+            helper.final_message = message
             helper.handed_over.set()
         elif say == "invalid":
-            self.fail(InvalidRunError(message["text"]))
+            self.on_failure(InvalidRunError(message["text"]))
         else:
             if say == "tick":
-                helper.tick = message
-            self.said(helper, say, message)
+                helper.last_tick = message
+            self.on_message(helper, say, message)
 
-    def _ended(self, helper: Helper) -> None:
+    def _process_exited(self, helper: Helper) -> None:
         self.loop.remove_reader(helper.child.pidfd)
-        self.loop.remove_reader(helper.near.sock)
-        while (messages := helper.near.hear()) is not None:  # its last words come first
+        self.loop.remove_reader(helper.channel.sock)
+        while (messages := helper.channel.receive()) is not None:  # its last words come first
             for message in messages:
-                self._take(helper, message)
+                self._handle_message(helper, message)
         code = self.supervisor.reap(helper.child)
-        if helper.done is None:
+        if helper.final_message is None:
             lines = (self.scratch / f"{helper.name}.log").read_text(errors="replace").splitlines()
             said = f": {lines[-1]}" if lines else ""
             raise InvalidRunError(
--- a/slatelab/live/facts.py
+++ b/slatelab/live/facts.py
@@ -11,46 +11,46 @@
 
 from slatelab.records import Asked, Came, Fact, Told
 
-BATCH = 256  # small, so that writing one never takes a millisecond
-MOST = 5_000_000  # in one process; each is some 150 bytes
-FURTHER: dict[type[Fact], tuple[str, ...]] = {
+BATCH_FACTS = 256  # small, so that writing one never takes a millisecond
+MAX_FACTS = 5_000_000  # in one process; each is some 150 bytes
+OTHER_TIME_FIELDS: dict[type[Fact], tuple[str, ...]] = {
     Asked: ("intended", "until"),
     Came: ("first",),
     Told: ("since",),
 }
 
 
-class TooMany(Exception):
+class TooManyFacts(Exception):
     """The run has more to tell than the lab holds."""
 
 
-class Facts:
+class FactWriter:
     """Keeps what comes before the day's first moment is known; from then on counts from it."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("wb", buffering=0)
         self._encoder = msgspec.json.Encoder()
         self._held: list[Fact] = []
-        self._shift: int | None = None
+        self._day_start: int | None = None
         self.count = 0
 
     def add(self, fact: Fact) -> None:
         """Raises TooMany."""
         self._held.append(fact)
         self.count += 1
-        if self.count > MOST:
-            raise TooMany(f"more than {MOST} facts from one process: shorten the run")
-        if len(self._held) >= BATCH and self._shift is not None:
+        if self.count > MAX_FACTS:
+            raise TooManyFacts(f"more than {MAX_FACTS} facts from one process: shorten the run")
+        if len(self._held) >= BATCH_FACTS and self._day_start is not None:
             self.flush()
 
     def begin(self, shift: int) -> None:
         """The day begins at `shift` of the facts' own time. What was before it counts as its first moment."""
-        self._shift = shift
+        self._day_start = shift
 
     def flush(self) -> None:
         held, self._held = self._held, []
-        if self._shift:
-            held = [_shifted(fact, self._shift) for fact in held]
+        if self._day_start:
+            held = [_shifted(fact, self._day_start) for fact in held]
         self._file.write(self._encoder.encode_lines(held))
 
     def close(self) -> None:
@@ -59,9 +59,11 @@
 
 
 def _shifted(fact: Fact, by: int) -> Fact:
-    times = {key: _earlier(getattr(fact, key), by) for key in ("t", *FURTHER.get(type(fact), ()))}
+    times = {
+        key: _shifted_time(getattr(fact, key), by) for key in ("t", *OTHER_TIME_FIELDS.get(type(fact), ()))
+    }
     return replace(fact, **times)
 
 
-def _earlier(t: int, by: int) -> int:
+def _shifted_time(t: int, by: int) -> int:
     return max(0, t - by)
--- a/slatelab/live/front.py
+++ b/slatelab/live/front.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Door:
+class ProxyAddress:
     """Where a proxy listens."""
 
     proxy: str
@@ -24,20 +24,20 @@
 
 
 @dataclass(eq=False, slots=True)
-class Passage:
+class FrontRequest:
     """A try on its way through the front. `write` gives the bytes for a proxy; `ended` hears the end."""
 
     write: Callable[[str], bytes]
-    ended: Callable[[Exchange | None], None]  # None: no proxy could be reached at all
+    on_finished: Callable[[Exchange | None], None]  # None: no proxy could be reached at all
     proxy: str = ""
     exchange: Exchange | None = None
     refused: list[str] = field(default_factory=list)  # proxies that could not be reached
-    over: bool = False
+    finished: bool = False
 
-    def give_up(self) -> None:
-        self.over = True
+    def cancel(self) -> None:
+        self.finished = True
         if self.exchange:
-            self.exchange.give_up()
+            self.exchange.cancel()
 
 
 class Front:
@@ -49,7 +49,7 @@
         self,
         loop: AbstractEventLoop,
         now: Callable[[], int],
-        doors: list[Door],
+        doors: list[ProxyAddress],
         most: int,
         surplus: Callable[[Exchange, int, bytes], None],
         skew: int = 1,
@@ -57,23 +57,23 @@
         self.pools = {
             door.proxy: ConnectionPool(loop, now, (door.host, door.port), surplus) for door in doors
         }
-        self.used = dict.fromkeys(self.pools, True)
+        self.in_use = dict.fromkeys(self.pools, True)
         self.names = [doors[place].proxy for place in weighted_round_robin(len(doors), skew)]
-        self.most = most
-        self.waiting: deque[Passage] = deque()
-        self._turn = 0
+        self.max_connections = most
+        self.waiting: deque[FrontRequest] = deque()
+        self._next_index = 0
 
-    def take(self, proxy: str, used: bool) -> None:
-        self.used[proxy] = used
+    def set_in_use(self, proxy: str, used: bool) -> None:
+        self.in_use[proxy] = used
 
-    def send(self, passage: Passage) -> None:
+    def send(self, passage: FrontRequest) -> None:
         """To the next proxy in turn, over an idle connection or a new one."""
         proxy = self._choose(passage)
         if proxy is None:
-            passage.over = True
-            return passage.ended(None)
+            passage.finished = True
+            return passage.on_finished(None)
         pool = self.pools[proxy]
-        if not pool.idle and sum(p.count for p in self.pools.values()) >= self.most:
+        if not pool.idle and sum(p.count for p in self.pools.values()) >= self.max_connections:
             proxy = next((name for name, p in self.pools.items() if p.idle), None)
             if proxy is None:
                 return self.waiting.append(passage)
@@ -82,33 +82,33 @@
         passage.exchange = Exchange(passage.write(proxy), lambda exchange: self._ended(passage, exchange))
         pool.send(passage.exchange)
 
-    def _choose(self, passage: Passage) -> str | None:
+    def _choose(self, passage: FrontRequest) -> str | None:
         for i in range(len(self.names)):
-            name = self.names[(self._turn + i) % len(self.names)]
-            if name not in passage.refused and (self.used[name] or self.pools[name].idle):
-                self._turn += i + 1
+            name = self.names[(self._next_index + i) % len(self.names)]
+            if name not in passage.refused and (self.in_use[name] or self.pools[name].idle):
+                self._next_index += i + 1
                 return name
         return None
 
-    def _ended(self, passage: Passage, exchange: Exchange) -> None:
+    def _ended(self, passage: FrontRequest, exchange: Exchange) -> None:
         if not exchange.status and not exchange.sent_at:
             # Nobody has heard it: the front tries the others at once, a dead proxy costs no more than that.
             passage.refused.append(passage.proxy)
             return self.send(passage)
-        passage.over = True
-        passage.ended(exchange)
-        self._next()
+        passage.finished = True
+        passage.on_finished(exchange)
+        self._send_next()
 
-    def _next(self) -> None:
+    def _send_next(self) -> None:
         """A connection is free: the one that has waited longest goes on."""
         while self.waiting:
             passage = self.waiting.popleft()
-            if not passage.over:
+            if not passage.finished:
                 return self.send(passage)
 
-    def freed(self) -> None:
+    def connection_freed(self) -> None:
         """A try was given up, and its connection with it."""
-        self._next()
+        self._send_next()
 
     def close(self) -> None:
         for pool in self.pools.values():
--- a/slatelab/live/load.py
+++ b/slatelab/live/load.py
@@ -17,14 +17,14 @@
 from slatelab.records import Answered, Asked, BrokenOff, GaveUp
 from slatelab.scenario import Scenario
 
-from .client_pool import Exchange, request_of, token_of
+from .client_pool import Exchange, request_id_of, token_from_body
 from .clock import ScheduledCall
 from .control_channel import HelperChannel, JobContext, Message, Part
-from .front import Door, Front, Passage
+from .front import Front, FrontRequest, ProxyAddress
 from .schedule_lag import ScheduleLag
 from .wire import request_bytes
 
-MOST_LATENCIES = 2000  # in one tick
+MAX_LATENCIES_PER_TICK = 2000  # in one tick
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,83 +36,85 @@
     scenario: Scenario
     seed: int
     folder: Path
-    doors: list[Door]
+    proxy_addresses: list[ProxyAddress]
     stall: tuple[int, int] | None = None
 
     def part(self, far: HelperChannel) -> Part:
-        return Load(self, far)
+        return LoadGenerator(self, far)
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class ClientAttempt:
     order: Order
     attempt: int
     intended: int
     until: int
-    passage: Passage | None = None
-    wake: ScheduledCall | None = None
+    front_request: FrontRequest | None = None
+    timer: ScheduledCall | None = None
 
     @property
     def request(self) -> str:
         return f"o{self.order.number}.{self.attempt}"
 
 
-class Load:
+class LoadGenerator:
     def __init__(self, job: LoadJob, far: HelperChannel) -> None:
         self.job, self.channel, self.scenario = job, far, job.scenario
-        far.by_day = True
+        far.uses_day_time = True
         self.random_streams = RandomStreams(job.seed)
         self.orders: list[Order] = []
-        self.late = ScheduleLag()
+        self.schedule_lag = ScheduleLag()
         self.front = Front(
-            far.loop, far.clock.now, job.doors, job.scenario.clients.connections, self._surplus,
+            far.loop, far.clock.now, job.proxy_addresses, job.scenario.clients.connections, self._unexpected_response,
             job.scenario.tiers[0].skew,
         )  # fmt: skip
-        self.begun = 0  # orders sent so far
-        self.pending = 0  # tries under way, and those still to come of orders begun
+        self.orders_sent = 0  # orders sent so far
+        self.pending_attempts = 0  # tries under way, and those still to come of orders begun
         self.counts = {"served": 0, "refused": 0, "failed": 0}
         self.latencies: list[int] = []
-        self.told_over = False
+        self.end_reported = False
 
     async def open(self) -> None:
         self.orders = workload.generate_orders(self.scenario, self.random_streams, self.job.folder)
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message["do"] == "go":
-            self._wait()
+            self._schedule_next_order()
             if self.job.stall:
                 at, span = self.job.stall
-                self.channel.clock.at(at, lambda: time.sleep(span / 1e6))
+                self.channel.clock.call_at(at, lambda: time.sleep(span / 1e6))
         elif message["do"] == "front":
-            self.front.take(message["proxy"], message["used"])
+            self.front.set_in_use(message["proxy"], message["used"])
 
     # ------------------------------------------------------------ sending
 
-    def _wait(self) -> None:
-        if self.begun < len(self.orders):
-            self.channel.clock.at(self.orders[self.begun].at, self._due)
+    def _schedule_next_order(self) -> None:
+        if self.orders_sent < len(self.orders):
+            self.channel.clock.call_at(self.orders[self.orders_sent].at, self._send_due_orders)
         else:
-            self._look_over()
+            self._report_if_done()
 
-    def _due(self) -> None:
+    def _send_due_orders(self) -> None:
         now = self.channel.clock.now()
-        while self.begun < len(self.orders) and self.orders[self.begun].at <= now:
-            order = self.orders[self.begun]
-            self.begun += 1
-            self.pending += 1
+        while self.orders_sent < len(self.orders) and self.orders[self.orders_sent].at <= now:
+            order = self.orders[self.orders_sent]
+            self.orders_sent += 1
+            self.pending_attempts += 1
             self._send(order, 0, order.at)
-        self._wait()
+        self._schedule_next_order()
 
     def _send(self, order: Order, attempt: int, intended: int) -> None:
-        self.late.record(intended, self.channel.clock.now() - intended)
-        one = Try(order, attempt, intended, client.attempt_timeout_at(self.scenario, order, intended))
+        self.schedule_lag.record(intended, self.channel.clock.now() - intended)
+        one = ClientAttempt(
+            order, attempt, intended, client.attempt_timeout_at(self.scenario, order, intended)
+        )
         # A little longer than it says: an answer that is on its way must not be taken for none.
         patience = one.until + self.scenario.rules.answer_slack
-        one.wake = self.channel.clock.at(patience, partial(self._give_up, one))
-        one.passage = Passage(partial(self._write, one), partial(self._ended, one))
-        self.front.send(one.passage)
+        one.timer = self.channel.clock.call_at(patience, partial(self._give_up, one))
+        one.front_request = FrontRequest(partial(self._write, one), partial(self._ended, one))
+        self.front.send(one.front_request)
 
-    def _write(self, one: Try, proxy: str) -> bytes:
+    def _write(self, one: ClientAttempt, proxy: str) -> bytes:
         order = one.order
         figures = {
             "order": order.number,
@@ -131,72 +133,77 @@
 
     # ------------------------------------------------------------ ends
 
-    def _ended(self, one: Try, exchange: Exchange | None) -> None:
+    def _ended(self, one: ClientAttempt, exchange: Exchange | None) -> None:
         now, request = self.channel.clock.now(), one.request
-        assert one.wake and one.passage
-        one.wake.cancel()
+        assert one.timer and one.front_request
+        one.timer.cancel()
         self._note_asked(one, exchange)
         if exchange is None or not exchange.status:
             sent = exchange is not None and exchange.sent_at > 0
             self.channel.facts.add(
                 BrokenOff(now, request, sent, exchange.failure if exchange else "no proxy takes it")
             )
-            return self._after(one, "gone" if sent else "unheard", 0)
-        token = token_of(exchange.body)
+            return self._after_attempt(one, "gone" if sent else "unheard", 0)
+        token = token_from_body(exchange.body)
         self.channel.facts.add(Answered(now, request, exchange.status, token, exchange.retry_after_us))
         end: AttemptOutcome = (
             "served" if exchange.status == 200 else "refused" if exchange.status in (429, 503) else "failed"
         )
-        self._after(one, end, exchange.retry_after_us)
+        self._after_attempt(one, end, exchange.retry_after_us)
 
-    def _give_up(self, one: Try) -> None:
-        assert one.passage
-        one.passage.give_up()
-        self._note_asked(one, one.passage.exchange)
+    def _give_up(self, one: ClientAttempt) -> None:
+        assert one.front_request
+        one.front_request.cancel()
+        self._note_asked(one, one.front_request.exchange)
         self.channel.facts.add(GaveUp(self.channel.clock.now(), one.request))
-        self._after(one, "gave-up", 0)
-        self.front.freed()
+        self._after_attempt(one, "gave-up", 0)
+        self.front.connection_freed()
 
-    def _note_asked(self, one: Try, exchange: Exchange | None) -> None:
-        if exchange is None or not exchange.sent_at or one.passage is None:
+    def _note_asked(self, one: ClientAttempt, exchange: Exchange | None) -> None:
+        if exchange is None or not exchange.sent_at or one.front_request is None:
             return
         order, cls = one.order, self.scenario.classes[one.order.cls].name
         asked = Asked(
-            exchange.sent_at, one.request, one.attempt, f"c{order.number}", one.passage.proxy, 0, cls,
+            exchange.sent_at, one.request, one.attempt, f"c{order.number}", one.front_request.proxy, 0, cls,
             self._tenant(order), one.intended, one.until,
         )  # fmt: skip
         self.channel.facts.add(asked)
 
-    def _after(self, one: Try, end: AttemptOutcome, retry_after_us: int) -> None:
+    def _after_attempt(self, one: ClientAttempt, end: AttemptOutcome, retry_after_us: int) -> None:
         order, now = one.order, self.channel.clock.now()
         if end != "served":
             rng = self.random_streams.stream("client", order.number, one.attempt)
             again = client.next_retry(self.scenario, order, one.attempt, now, end, retry_after_us, rng)
             if again:
-                self.channel.clock.at(again.at, partial(self._send, order, one.attempt + 1, again.at))
+                self.channel.clock.call_at(again.at, partial(self._send, order, one.attempt + 1, again.at))
                 return
-        self.pending -= 1
+        self.pending_attempts -= 1
         self.counts[end if end in self.counts else "failed"] += 1
-        if end == "served" and len(self.latencies) < MOST_LATENCIES:
+        if end == "served" and len(self.latencies) < MAX_LATENCIES_PER_TICK:
             self.latencies.append(now - order.at)
-        self._look_over()
+        self._report_if_done()
 
-    def _surplus(self, last: Exchange, status: int, body: bytes) -> None:
+    def _unexpected_response(self, last: Exchange, status: int, body: bytes) -> None:
         """An answer that nobody asked for: the judge takes it for a second one to the last request."""
-        token = token_of(body)
-        self.channel.facts.add(Answered(self.channel.clock.now(), request_of(last.data), status, token))
+        token = token_from_body(body)
+        self.channel.facts.add(Answered(self.channel.clock.now(), request_id_of(last.data), status, token))
 
-    def _look_over(self) -> None:
-        if not self.told_over and not self.pending and self.begun == len(self.orders):
-            self.told_over = True
-            self.channel.say("over")
+    def _report_if_done(self) -> None:
+        if not self.end_reported and not self.pending_attempts and self.orders_sent == len(self.orders):
+            self.end_reported = True
+            self.channel.send("over")
 
     # ------------------------------------------------------------ the lab's questions
 
     def tick(self) -> Message:
         latencies, self.latencies = self.latencies, []
-        return {"t": self.channel.clock.now(), "asked": self.begun, "latencies": latencies, **self.counts}
+        return {
+            "t": self.channel.clock.now(),
+            "asked": self.orders_sent,
+            "latencies": latencies,
+            **self.counts,
+        }
 
     def close(self) -> Message:
         self.front.close()
-        return {"late_p99_us": self.late.p99_us, "complaint": self.late.invalid_reason()}
+        return {"late_p99_us": self.schedule_lag.p99_us, "complaint": self.schedule_lag.invalid_reason()}
--- a/slatelab/live/logs.py
+++ b/slatelab/live/logs.py
@@ -8,30 +8,30 @@
 import re
 from typing import Any, NamedTuple
 
-LONGEST = 4000
+MAX_LINE_CHARS = 4000
 PAIR = re.compile(r'([A-Za-z_][\w.-]*)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?:\s+|$)')
 PLAIN = re.compile(r"slatehub: ([\w-]{1,40}): (.*)", re.DOTALL)
-TIMES = ("time", "ts", "at")
+TIME_FIELDS = ("time", "ts", "at")
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     level: str
     topic: str
     text: str
     fields: dict[str, str]
 
 
-def parse(line: str) -> Line:
+def parse(line: str) -> LogLine:
     """One line, without its end. `level` is "" where the line does not say."""
-    line = line[:LONGEST]
+    line = line[:MAX_LINE_CHARS]
     if (fields := _json(line) or _logfmt(line)) is not None:
-        for key in TIMES:
+        for key in TIME_FIELDS:
             fields.pop(key, None)
         level, topic = fields.pop("level", ""), fields.pop("topic", "")
-        return Line(level.lower(), topic, fields.pop("msg", ""), fields)
+        return LogLine(level.lower(), topic, fields.pop("msg", ""), fields)
     if found := PLAIN.fullmatch(line):
-        return Line("error" if found[1] == "fault" else "info", found[1], found[2], {})
-    return Line("", "", line, {})
+        return LogLine("error" if found[1] == "fault" else "info", found[1], found[2], {})
+    return LogLine("", "", line, {})
 
 
 def _json(line: str) -> dict[str, str] | None:
@@ -41,10 +41,10 @@
         tree = json.loads(line)
     except (ValueError, RecursionError):
         return None
-    return {str(key): _word(value) for key, value in tree.items()} if isinstance(tree, dict) else None
+    return {str(key): _field_text(value) for key, value in tree.items()} if isinstance(tree, dict) else None
 
 
-def _word(value: Any) -> str:
+def _field_text(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
@@ -55,12 +55,12 @@
         found = PAIR.match(line, at)
         if not found:
             return None
-        fields[found[1]] = _bare(found[2])
+        fields[found[1]] = _unquoted(found[2])
         at = found.end()
     return fields if "msg" in fields or "level" in fields else None
 
 
-def _bare(value: str) -> str:
+def _unquoted(value: str) -> str:
     if not value.startswith('"'):
         return value
     return re.sub(r"\\(.)", lambda found: "\n" if found[1] == "n" else found[1], value[1:-1])
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -15,7 +15,7 @@
 from .control_channel import HelperChannel, JobContext, Message, Part
 from .emulated_node import EmulatedNode, NodeLocation
 
-SWEEP_S = 0.5
+IDLE_CHECK_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,31 +23,31 @@
     context: JobContext
     scenario: Scenario
     seed: int
-    sites: list[NodeLocation]
+    locations: list[NodeLocation]
     changes: list[FaultEvent]  # of the whole day; the lab says by number when one is due
 
     def part(self, far: HelperChannel) -> Part:
-        return Nodes(self, far)
+        return NodeHost(self, far)
 
 
-class Nodes:
+class NodeHost:
     def __init__(self, job: NodesJob, far: HelperChannel) -> None:
         self.job, self.channel = job, far
         self.active_faults = ActiveFaults(job.scenario)
         draw = RandomStreams(job.seed)
         self.emulated_nodes = {
-            site.spec.id: EmulatedNode(far, job.scenario, draw, site, partial(self._told, site.spec.id))
-            for site in job.sites
+            site.spec.id: EmulatedNode(far, job.scenario, draw, site, partial(self._notify, site.spec.id))
+            for site in job.locations
         }
 
     async def open(self) -> None:
         for name, place in self.emulated_nodes.items():
             place.start(False, self.active_faults.conditions_for(name), False)
-        self._sweep()
+        self._close_idle()
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message["do"] == "change":
-            self._change(self.job.changes[message["n"]])
+            self._apply_fault(self.job.changes[message["n"]])
         elif message["do"] == "start":
             name = message["place"]
             self.emulated_nodes[name].restart(
@@ -56,20 +56,20 @@
                 self.active_faults.is_black_holed(name),
             )
 
-    def _change(self, change: FaultEvent) -> None:
+    def _apply_fault(self, change: FaultEvent) -> None:
         for name, condition in self.active_faults.apply(change):
             if place := self.emulated_nodes.get(name):
                 place.set_condition(condition)
         for name in change.targets:
             if place := self.emulated_nodes.get(name):
-                self._befall(place, name, change)
+                self._apply_to_node(place, name, change)
 
-    def _befall(self, place: EmulatedNode, name: str, change: FaultEvent) -> None:
+    def _apply_to_node(self, place: EmulatedNode, name: str, change: FaultEvent) -> None:
         if change.kind == "black-hole" and self.active_faults.is_black_holed(name):
             place.isolate()
         elif change.kind == "black-hole":
             place.end_isolation()
-        elif deed := DEEDS.get(change.kind):
+        elif deed := FAULT_ACTIONS.get(change.kind):
             deed(place, change)
 
     def tick(self) -> Message:
@@ -77,25 +77,25 @@
             (p.spec.id, p.state, p.simulator.pending_requests if p.simulator else 0)
             for p in self.emulated_nodes.values()
         ]
-        return {"nodes": nodes, "open": sum(len(p.outs) for p in self.emulated_nodes.values())}
+        return {"nodes": nodes, "open": sum(len(p.downstream_calls) for p in self.emulated_nodes.values())}
 
     def close(self) -> Message:
         for place in self.emulated_nodes.values():
             place.close()
         return {"open": 0}
 
-    def _told(self, name: str, say: str, **more: Any) -> None:
-        self.channel.say(say, place=name, **more)
+    def _notify(self, name: str, say: str, **more: Any) -> None:
+        self.channel.send(say, place=name, **more)
 
-    def _sweep(self) -> None:
+    def _close_idle(self) -> None:
         for place in self.emulated_nodes.values():
             place.close_idle()
-        self.channel.loop.call_later(SWEEP_S, self._sweep)
+        self.channel.loop.call_later(IDLE_CHECK_S, self._close_idle)
 
 
-DEEDS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
+FAULT_ACTIONS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
     "kill": lambda place, change: place.crash("killed"),
     "stop": lambda place, change: place.crash("stopped"),
     "drain": lambda place, change: place.drain(),
-    "reset": lambda place, change: place.break_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
+    "reset": lambda place, change: place.reset_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
 }
--- a/slatelab/live/peer_network.py
+++ b/slatelab/live/peer_network.py
@@ -15,33 +15,33 @@
 from slatelab.plant.fleet import ProxySpec
 from slatelab.scenario import Scenario
 
-SEEDS = 3
+MAX_SEEDS = 3
 
 
-class Between:
+class LivePeerNetwork:
     """`rng` draws what becomes of each datagram; which one meets which draw is chance on real sockets."""
 
     def __init__(self, scenario: Scenario, proxies: list[ProxySpec], rng: Random, scratch: Path) -> None:
         self.terms, self.proxies = scenario.fleet, proxies
         self.net = PeerNetwork(rng, self.terms.delay)
         self.net.faults.loss = self.terms.lost
-        self.key = scratch / "fleet.key"
-        self.key.unlink(missing_ok=True)
-        key_file.add(str(self.key), True)
+        self.key_path = scratch / "fleet.key"
+        self.key_path.unlink(missing_ok=True)
+        key_file.add(str(self.key_path), True)
         self.relay = Relay(self.net, [proxy.name for proxy in proxies])
 
-    def table(self, proxy: ProxySpec) -> str:
+    def fleet_table(self, proxy: ProxySpec) -> str:
         """Its part of the operator's file."""
         tier = [other.name for other in self.proxies if other.tier == proxy.tier]
-        seeds = [_text(self.relay.advertised_address(name)) for name in tier[:SEEDS]]
+        seeds = [_host_port(self.relay.advertised_address(name)) for name in tier[:MAX_SEEDS]]
         rows = {
-            "listen": _text(self.relay.listen_addresses[proxy.name]),
-            "advertise": _text(self.relay.advertised_address(proxy.name)),
-            "seeds": seeds, "name": "lab", "key_file": str(self.key), "share": self.terms.share,
+            "listen": _host_port(self.relay.listen_addresses[proxy.name]),
+            "advertise": _host_port(self.relay.advertised_address(proxy.name)),
+            "seeds": seeds, "name": "lab", "key_file": str(self.key_path), "share": self.terms.share,
         }  # fmt: skip
         return "[fleet]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
 
-    def change(self, change: FaultEvent) -> None:
+    def apply_fault(self, change: FaultEvent) -> None:
         with self.relay.lock:
             apply_change(self.net, change, [proxy.name for proxy in self.proxies], self.terms.lost)
 
@@ -49,5 +49,5 @@
         self.relay.close()
 
 
-def _text(place: tuple[str, int]) -> str:
+def _host_port(place: tuple[str, int]) -> str:
     return f"{place[0]}:{place[1]}"
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -21,10 +21,13 @@
 from .addresses import Addresses
 from .discovery import DiscoveryEndpoint
 from .emulated_node import NodeLocation
-from .front import Door
+from .front import ProxyAddress
 
-MOST_PROXIES = 300  # processes of some 30 MB each
-NODES_EACH, RATE_EACH = 40, 1500  # nodes, and requests a second, for one emulating process
+MAX_PROXIES = 300  # processes of some 30 MB each
+NODES_PER_PROCESS, REQUESTS_PER_S_PER_PROCESS = (
+    40,
+    1500,
+)  # nodes, and requests a second, for one emulating process
 
 
 @dataclass(slots=True)
@@ -34,45 +37,49 @@
     nodes: list[NodeSpec]
     proxies: list[ProxySpec]
     changes: list[FaultEvent]
-    doors: dict[str, Door]  # by proxy
-    desks: dict[str, DiscoveryEndpoint]  # by proxy
-    asides: list[DiscoveryEndpoint]  # by tier: where the lab itself asks, unrecorded
-    sites: list[NodeLocation]
-    tables: dict[str, str] = field(
+    proxy_addresses: dict[str, ProxyAddress]  # by proxy
+    discovery_endpoints: dict[str, DiscoveryEndpoint]  # by proxy
+    lab_endpoints: list[DiscoveryEndpoint]  # by tier: where the lab itself asks, unrecorded
+    locations: list[NodeLocation]
+    operator_tables: dict[str, str] = field(
         default_factory=dict
     )  # of the operator's file, beside the usual ones; by proxy
 
-    def where(self, place: str) -> str:
+    def node_address(self, place: str) -> str:
         """host:port of a place."""
-        return next(f"{site.host}:{site.port}" for site in self.sites if site.spec.id == place)
+        return next(f"{site.host}:{site.port}" for site in self.locations if site.spec.id == place)
 
     def members(self, tier: int) -> list[dict[str, Any]]:
         """The nodes of a tier as they stand at the beginning."""
         return [
             settings.member_entry(site.spec, f"{site.host}:{site.port}", "SERVING", 0)
-            for site in self.sites
+            for site in self.locations
             if site.spec.tier == tier
         ]
 
-    def shares(self) -> list[list[NodeLocation]]:
+    def locations_by_process(self) -> list[list[NodeLocation]]:
         """The places, dealt out to as many processes as they need."""
         count = min(
-            _most_processes(), max(ceil(len(self.sites) / NODES_EACH), ceil(_rate(self.scenario) / RATE_EACH))
+            _max_processes(),
+            max(
+                ceil(len(self.locations) / NODES_PER_PROCESS),
+                ceil(_total_request_rate(self.scenario) / REQUESTS_PER_S_PER_PROCESS),
+            ),
         )
-        return [self.sites[i::count] for i in range(min(count, len(self.sites)))]
+        return [self.locations[i::count] for i in range(min(count, len(self.locations)))]
 
-    def operator(self, proxy: ProxySpec) -> str:
+    def operator_config(self, proxy: ProxySpec) -> str:
         """The operator's file of a proxy; "" where all is as usual."""
         usual = type(self.scenario.proxy.storms)()
         changed = self.scenario.proxy.storms.model_dump().items() - usual.model_dump().items()
         storms = (
             "[storms]\n" + "".join(f"{k} = {json.dumps(v)}\n" for k, v in sorted(changed)) if changed else ""
         )
-        return storms + self.tables.get(proxy.name, "")
+        return storms + self.operator_tables.get(proxy.name, "")
 
     def write_config(self, path: Path, proxy: ProxySpec, members: list[dict[str, Any]], life: int) -> None:
         """Put in place whole, as a proxy may read it at any moment. Each life has a seed of its own."""
-        door, desk = self.doors[proxy.name], self.desks[proxy.name]
+        door, desk = self.proxy_addresses[proxy.name], self.discovery_endpoints[proxy.name]
         seed = f"{self.random_streams.stream('proxy', proxy.name, life).getrandbits(64):016x}"
         listen, asks = f"{door.host}:{door.port}", f"{desk.host}:{desk.port}"
         tree = settings.build_config(self.scenario, proxy, listen, asks, members, seed)
@@ -81,16 +88,16 @@
         os.replace(draft, path)
 
 
-def plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
+def make_plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
     """Raises ScenarioError, and InvalidRunError where this machine cannot hold it."""
     if scenario.proxy.kind != "slatehub":
         raise InvalidRunError(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
     draw = RandomStreams(seed)
     nodes = fleet.build_nodes(scenario, draw)
     proxies = fleet.build_proxies(scenario, nodes)
-    if len(proxies) > MOST_PROXIES:
-        raise InvalidRunError(f"{len(proxies)} proxies: more than the {MOST_PROXIES} that a live run starts")
-    doors = {p.name: Door(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
+    if len(proxies) > MAX_PROXIES:
+        raise InvalidRunError(f"{len(proxies)} proxies: more than the {MAX_PROXIES} that a live run starts")
+    doors = {p.name: ProxyAddress(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
     desks = {
         p.name: DiscoveryEndpoint(p.name, p.tier, at.discovery(i), at.port) for i, p in enumerate(proxies)
     }
@@ -107,11 +114,11 @@
     return Plan(scenario, draw, nodes, proxies, changes, doors, desks, asides, sites)
 
 
-def _most_processes() -> int:
+def _max_processes() -> int:
     return max(1, (os.cpu_count() or 2) // 2 - 1)
 
 
-def _rate(scenario: Scenario) -> float:
+def _total_request_rate(scenario: Scenario) -> float:
     """Requests a second at all nodes together, roughly."""
     orders = sum(max(stream.rate, stream.to_rate) for stream in scenario.arrivals)
     calls = [prod(tier.calls for tier in scenario.tiers[:t]) for t in range(len(scenario.tiers))]
--- a/slatelab/live/proxy_processes.py
+++ b/slatelab/live/proxy_processes.py
@@ -23,32 +23,32 @@
 from .plan import Plan
 from .supervisor import Child, ProcessSupervisor
 
-READY_WITHIN_S = 30.0
-LOOK_EVERY_S = 0.05
-NOTICED_S = 1.0  # until the front notices that a proxy has died
-WITHDRAWN_S = 0.3  # after SIGTERM, until the front sends no new connection
-MOST_LINES = 200_000  # of all logs of a run, as facts
-MOST_BYTES = 64 * 1024 * 1024  # of one log file
-KEPT = 5  # last lines, for messages
+READY_TIMEOUT_S = 30.0
+READY_POLL_S = 0.05
+CRASH_NOTICE_S = 1.0  # until the front notices that a proxy has died
+STOP_NOTICE_S = 0.3  # after SIGTERM, until the front sends no new connection
+MAX_LOG_FACTS = 200_000  # of all logs of a run, as facts
+MAX_LOG_BYTES = 64 * 1024 * 1024  # of one log file
+LAST_LINES = 5  # last lines, for messages
 
 
-class Proxy:
+class ProxyProcess:
     """One proxy over all its lives. `state`: down, starting, up, stopping. `ends_as`: how the process now
     running is to end ("": not at all), so that any other end is a crash."""
 
-    def __init__(self, crew: Crew, spec: ProxySpec) -> None:
-        self.crew, self.spec, self.name = crew, spec, spec.name
+    def __init__(self, crew: ProxyFleet, spec: ProxySpec) -> None:
+        self.fleet, self.spec, self.name = crew, spec, spec.name
         self.config = crew.folder / f"{spec.name}.json"
         self.state = "down"
-        self.ends_as = ""
+        self.expected_end = ""
         self.life = 0
         self.child: Child | None = None
         self.ready = asyncio.Event()
-        self.gone = asyncio.Event()
-        self.gone.set()
-        self.wanted_again = False
-        self.last: deque[str] = deque(maxlen=KEPT)
-        self._rest = b""
+        self.exited = asyncio.Event()
+        self.exited.set()
+        self.restart_wanted = False
+        self.last_lines: deque[str] = deque(maxlen=LAST_LINES)
+        self._partial_line = b""
 
     # ------------------------------------------------------------ lives
 
@@ -56,19 +56,25 @@
         """Starts it with the nodes that discovery shows now; one that still runs is started again once it has
         ended."""
         if self.child:
-            self.wanted_again = self.state == "stopping"
+            self.restart_wanted = self.state == "stopping"
             return
-        self.wanted_again = False
-        self.state, self.ends_as = "starting", ""
+        self.restart_wanted = False
+        self.state, self.expected_end = "starting", ""
         self.ready.clear()
-        self.gone.clear()
+        self.exited.clear()
         life = self.life = self.life + 1
-        members = await self.crew.members(self.spec.tier) if life > 1 else self.crew.known[self.spec.tier]
+        members = (
+            await self.fleet.members(self.spec.tier) if life > 1 else self.fleet.known_members[self.spec.tier]
+        )
         if self.life == life and self.state == "starting":
             self._launch(members)
 
     def _launch(self, members: list[dict[str, Any]]) -> None:
-        crew, door, desk = self.crew, self.crew.plan.doors[self.name], self.crew.plan.desks[self.name]
+        crew, door, desk = (
+            self.fleet,
+            self.fleet.plan.proxy_addresses[self.name],
+            self.fleet.plan.discovery_endpoints[self.name],
+        )
         crew.plan.write_config(self.config, self.spec, members, self.life)
         env = {
             key: value
@@ -81,7 +87,7 @@
             "EDGE_LISTEN": f"{door.host}:{door.port}",
             "EDGE_DISCOVERY": f"{desk.host}:{desk.port}",
         }
-        if own := crew.plan.operator(
+        if own := crew.plan.operator_config(
             self.spec
         ):  # an older tree does not know the variable, and goes on without
             env["SLATEHUB_OPERATOR"] = str(self.config.with_suffix(".toml"))
@@ -89,54 +95,56 @@
         reading, writing = os.pipe()
         command = [sys.executable, "-B", "-m", "slatehub", "serve"]
         try:
-            self.child = crew.supervisor.start(self.name, command, cwd=crew.tree, env=env, stderr=writing)
+            self.child = crew.supervisor.start(
+                self.name, command, cwd=crew.source_tree, env=env, stderr=writing
+            )
         finally:
             os.close(writing)
         log = (crew.folder / f"{self.name}.log").open("ab")
         os.set_blocking(reading, False)
         crew.loop.add_reader(reading, self._read, reading, log)
         crew.loop.add_reader(self.child.pidfd, crew.guarded, self._ended, self.child)
-        crew.spawn(self._look(self.life))
+        crew.spawn(self._poll_ready(self.life))
 
-    async def _look(self, life: int) -> None:
+    async def _poll_ready(self, life: int) -> None:
         """Asks until it is ready."""
-        door = self.crew.plan.doors[self.name]
+        door = self.fleet.plan.proxy_addresses[self.name]
         while self.life == life and self.state == "starting":
             status, _ = await fetch(door.host, door.port, "/ready")
             if status == 200 and self.life == life and self.state == "starting":
                 self.state = "up"
-                self.crew.add(ProxyUp(self.crew.now(), self.name, self.spec.tier))
-                self.crew.front(self.spec, True)
+                self.fleet.add_fact(ProxyUp(self.fleet.now(), self.name, self.spec.tier))
+                self.fleet.on_front_change(self.spec, True)
                 self.ready.set()
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(READY_POLL_S)
 
     def kill(self) -> None:
         """SIGKILL; nothing if it is down."""
         if self.child is None:
             self.life += 1  # one that is about to be launched is not
             self.state = "down"
-            self.gone.set()
+            self.exited.set()
             return
-        self._down("killed")
+        self._record_down("killed")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.supervisor.signal(self.child, signal.SIGKILL)
-        self._leave_front(NOTICED_S)
+        self.fleet.supervisor.signal(self.child, signal.SIGKILL)
+        self._leave_front(CRASH_NOTICE_S)
 
     def freeze(self, begins: bool) -> None:
         """SIGSTOP or SIGCONT; nothing if it is down."""
         if self.child:
-            self.crew.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
+            self.fleet.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
 
     def stop(self) -> None:
         """SIGTERM; nothing if it is down or stopping."""
         if self.child is None or self.state == "stopping":
             return
-        self._down("planned")
+        self._record_down("planned")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.supervisor.signal(self.child, signal.SIGTERM)
-        self._leave_front(WITHDRAWN_S)
+        self.fleet.supervisor.signal(self.child, signal.SIGTERM)
+        self._leave_front(STOP_NOTICE_S)
 
     def stop_now(self) -> None:
         """SIGKILL to one that has been told to stop and has not."""
@@ -145,46 +153,46 @@
 
     async def reload(self) -> None:
         """Its file written anew with the nodes that discovery shows now, then SIGHUP."""
-        members = await self.crew.members(self.spec.tier)
+        members = await self.fleet.members(self.spec.tier)
         if self.child and self.state == "up":
-            self.crew.plan.write_config(self.config, self.spec, members, self.life)
-            self.crew.supervisor.signal(self.child, signal.SIGHUP)
+            self.fleet.plan.write_config(self.config, self.spec, members, self.life)
+            self.fleet.supervisor.signal(self.child, signal.SIGHUP)
 
-    def _down(self, why: str) -> None:
-        if self.ends_as != why:
-            self.ends_as = why
-            self.crew.add(ProxyDown(self.crew.now(), self.name, why))
+    def _record_down(self, why: str) -> None:
+        if self.expected_end != why:
+            self.expected_end = why
+            self.fleet.add_fact(ProxyDown(self.fleet.now(), self.name, why))
 
     def _leave_front(self, after_s: float) -> None:
         life = self.life
 
         def leave() -> None:
             if self.life == life:
-                self.crew.front(self.spec, False)
+                self.fleet.on_front_change(self.spec, False)
 
-        self.crew.loop.call_later(after_s, leave)
+        self.fleet.loop.call_later(after_s, leave)
 
     def _ended(self, child: Child) -> None:
-        self.crew.loop.remove_reader(child.pidfd)
-        code = self.crew.supervisor.reap(child)
+        self.fleet.loop.remove_reader(child.pidfd)
+        code = self.fleet.supervisor.reap(child)
         self.child = None
-        if self.ends_as == "planned":
-            self._down("exited")
-        elif not self.ends_as:
+        if self.expected_end == "planned":
+            self._record_down("exited")
+        elif not self.expected_end:
             self._crashed(code)
         self.state = "down"
-        self.gone.set()
-        if self.wanted_again:
-            self.crew.spawn(self.start())
+        self.exited.set()
+        if self.restart_wanted:
+            self.fleet.spawn(self.start())
 
     def _crashed(self, code: int) -> None:
-        self._down("crashed")
-        said = f", its last words: {' | '.join(self.last)}" if self.last else ""
+        self._record_down("crashed")
+        said = f", its last words: {' | '.join(self.last_lines)}" if self.last_lines else ""
         text = f"{self.name} ended by itself with code {code}{said}"
-        if not self.crew.stands:
+        if not self.fleet.all_were_ready:
             raise InvalidRunError(f"{text}; it was never ready")
-        self.crew.notes.append(text)
-        self._leave_front(NOTICED_S)
+        self.fleet.notes.append(text)
+        self._leave_front(CRASH_NOTICE_S)
 
     # ------------------------------------------------------------ its log
 
@@ -194,25 +202,25 @@
         except BlockingIOError:
             return
         if not data:
-            self.crew.loop.remove_reader(fd)
+            self.fleet.loop.remove_reader(fd)
             os.close(fd)
             log.close()
             return
-        if log.tell() < MOST_BYTES:
+        if log.tell() < MAX_LOG_BYTES:
             log.write(data)
-        *lines, self._rest = (self._rest + data)[-MOST_BYTES:].split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data)[-MAX_LOG_BYTES:].split(b"\n")
         for line in lines:
             self._logged(line.decode("utf-8", "replace"))
 
     def _logged(self, text: str) -> None:
-        self.last.append(text[:300])
-        self.crew.lines += 1
-        if self.crew.lines <= MOST_LINES:
+        self.last_lines.append(text[:300])
+        self.fleet.log_lines += 1
+        if self.fleet.log_lines <= MAX_LOG_FACTS:
             level, topic, said, fields = parse(text)
-            self.crew.add(Logged(self.crew.now(), self.name, level, topic, said, fields))
+            self.fleet.add_fact(Logged(self.fleet.now(), self.name, level, topic, said, fields))
 
 
-class Crew:
+class ProxyFleet:
     """All proxies. `front` is told which of the first tier are in use; `add` takes facts in the run's own
     time."""
 
@@ -228,23 +236,29 @@
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         guarded: Callable[..., None],
     ) -> None:
-        self.plan, self.supervisor, self.tree, self.folder = plan, keeper, tree, folder
-        self.now, self.add, self.front, self.spawn, self.guarded = now, add, front, spawn, guarded
+        self.plan, self.supervisor, self.source_tree, self.folder = plan, keeper, tree, folder
+        self.now, self.add_fact, self.on_front_change, self.spawn, self.guarded = (
+            now,
+            add,
+            front,
+            spawn,
+            guarded,
+        )
         self.loop: AbstractEventLoop = asyncio.get_running_loop()
         self.notes: list[str] = []
-        self.lines = 0
-        self.proxies = {spec.name: Proxy(self, spec) for spec in plan.proxies}
+        self.log_lines = 0
+        self.proxies = {spec.name: ProxyProcess(self, spec) for spec in plan.proxies}
         self.owned = {spec.owner_node: self.proxies[spec.name] for spec in plan.proxies if spec.owner_node}
-        self.stands = False  # all have been ready once
-        self.known = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
+        self.all_were_ready = False  # all have been ready once
+        self.known_members = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
 
     async def members(self, tier: int) -> list[dict[str, Any]]:
         """The nodes of a tier as discovery shows them now, or as it did when it last answered."""
-        desk = self.plan.asides[tier]
+        desk = self.plan.lab_endpoints[tier]
         status, body = await fetch(desk.host, desk.port, "/v1/endpoints")
         if status == 200:
-            self.known[tier] = [m for m in json.loads(body)["members"] if m["phase"] != "DELETED"]
-        return self.known[tier]
+            self.known_members[tier] = [m for m in json.loads(body)["members"] if m["phase"] != "DELETED"]
+        return self.known_members[tier]
 
     async def start_all(self) -> None:
         """Tier by tier from the last, so that nobody calls whoever is not there yet."""
@@ -254,19 +268,21 @@
                 await proxy.start()
             for proxy in proxies:
                 await proxy.ready.wait()
-        self.stands = True
+        self.all_were_ready = True
 
-    def last_words(self) -> str:
+    def not_ready_summary(self) -> str:
         """What those say that are not ready."""
         late = [proxy for proxy in self.proxies.values() if proxy.state == "starting"]
-        return "".join(f"; {p.name}: {p.last[-1] if p.last else 'says nothing'}" for p in late[:3])
+        return "".join(
+            f"; {p.name}: {p.last_lines[-1] if p.last_lines else 'says nothing'}" for p in late[:3]
+        )
 
     async def stop_all(self, patience_s: float) -> None:
         """SIGTERM to all, and SIGKILL to those that take longer than they may."""
         for proxy in self.proxies.values():
-            proxy.wanted_again = False
+            proxy.restart_wanted = False
             proxy.stop()
-        waits = [asyncio.ensure_future(proxy.gone.wait()) for proxy in self.proxies.values()]
+        waits = [asyncio.ensure_future(proxy.exited.wait()) for proxy in self.proxies.values()]
         _, late = await asyncio.wait(waits, timeout=patience_s)
         for proxy in self.proxies.values() if late else ():
             proxy.stop_now()
--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -25,19 +25,19 @@
 from .clock import monotonic_us
 from .control_channel import Message
 from .emulation import Emulation, Helper
-from .facts import Facts
-from .peer_network import Between
-from .plan import Plan, plan
-from .proxy_processes import READY_WITHIN_S, Crew
+from .facts import FactWriter
+from .peer_network import LivePeerNetwork
+from .plan import Plan, make_plan
+from .proxy_processes import READY_TIMEOUT_S, ProxyFleet
 from .supervisor import ProcessSupervisor, ended_by_sigterm, leftover_processes
 
-PREPARED_WITHIN_S = 120.0  # drawing a large day takes long
-AHEAD_US = 800_000  # a node's own proxy is started so long before the node
-GO_AHEAD_US = 50_000
-HAND_OVER_S = 60.0
-END_MORE_S = 15.0  # after the last order's deadline, for a machine that is slow
-STOP_LEAST_US, STOP_MORE_US = 3_000_000, 700_000  # of a planned stop: as the longest deadline, and more
-QUIET_S = 0.6  # two ticks of the nodes
+PREPARE_TIMEOUT_S = 120.0  # drawing a large day takes long
+OWN_PROXY_LEAD_US = 800_000  # a node's own proxy is started so long before the node
+START_LEAD_US = 50_000
+HAND_OVER_TIMEOUT_S = 60.0
+END_SLACK_S = 15.0  # after the last order's deadline, for a machine that is slow
+MIN_STOP_US, STOP_SLACK_US = 3_000_000, 700_000  # of a planned stop: as the longest deadline, and more
+QUIET_POLL_S = 0.6  # two ticks of the nodes
 
 
 def run(
@@ -58,13 +58,15 @@
     left = leftover_processes(scratch)
     with ended_by_sigterm():
         addresses, keeper = Addresses(), ProcessSupervisor(scratch)
-        between: Between | None = None
+        between: LivePeerNetwork | None = None
         try:
-            layout = plan(scenario, seed, addresses)
+            layout = make_plan(scenario, seed, addresses)
             if scenario.fleet.peers:
-                between = Between(scenario, layout.proxies, layout.random_streams.stream("peers"), scratch)
-                layout.tables = {proxy.name: between.table(proxy) for proxy in layout.proxies}
-            day = Day(layout, seed, watch, scratch, between)
+                between = LivePeerNetwork(
+                    scenario, layout.proxies, layout.random_streams.stream("peers"), scratch
+                )
+                layout.operator_tables = {proxy.name: between.fleet_table(proxy) for proxy in layout.proxies}
+            day = LiveRun(layout, seed, watch, scratch, between)
             recording = asyncio.run(day.play(folder, tree, keeper, stall))
         finally:
             keeper.close()
@@ -75,7 +77,7 @@
     return recording
 
 
-class Day:
+class LiveRun:
     """One run. Times are microseconds of the lab's own clock, which begins with the run."""
 
     def __init__(
@@ -84,15 +86,15 @@
         seed: int,
         watch: ProgressCallback | None,
         scratch: Path,
-        between: Between | None = None,
+        between: LivePeerNetwork | None = None,
     ) -> None:
-        self.between = between
+        self.peer_network = between
         self.plan, self.scenario = layout, layout.scenario
-        self.seed, self.watch, self.scratch = seed, watch, scratch
+        self.seed, self.on_progress, self.scratch = seed, watch, scratch
         self.base = monotonic_us()
         self.start = 0  # of the day
-        self.longest = max(cls.deadline for cls in self.scenario.classes)
-        self.down: set[str] = set()  # places at which no node runs
+        self.max_deadline = max(cls.deadline for cls in self.scenario.classes)
+        self.down_nodes: set[str] = set()  # places at which no node runs
         self.tasks: set[asyncio.Task[None]] = set()
 
     def now(self) -> int:
@@ -106,23 +108,27 @@
         self._open(tree, keeper)
         unix_us = time.time_ns() // 1000 - self.now()
         self.emulation.start(self.plan, self.seed, folder, self.base, unix_us, stall)
-        await self._unless_failed(
-            self.emulation.ready(), PREPARED_WITHIN_S, "the emulation did not get ready"
+        await self._wait_unless_failed(
+            self.emulation.ready(), PREPARE_TIMEOUT_S, "the emulation did not get ready"
+        )
+        within_s = READY_TIMEOUT_S + len(self.plan.proxies)
+        await self._wait_unless_failed(
+            self.proxy_fleet.start_all(), within_s, "not all proxies answered ready"
+        )
+        self._start_day()
+        within_s = (self.scenario.scenario.duration + self.max_deadline) / 1e6 + END_SLACK_S
+        await self._wait_unless_failed(self.over.wait(), within_s, "the load did not come to its end")
+        await self._wait_unless_failed(
+            self._until_calls_end(), 2 * self.max_deadline / 1e6 + END_SLACK_S, "calls did not end"
         )
-        within_s = READY_WITHIN_S + len(self.plan.proxies)
-        await self._unless_failed(self.crew.start_all(), within_s, "not all proxies answered ready")
-        self._go()
-        within_s = (self.scenario.scenario.duration + self.longest) / 1e6 + END_MORE_S
-        await self._unless_failed(self.over.wait(), within_s, "the load did not come to its end")
-        await self._unless_failed(self._quiet(), 2 * self.longest / 1e6 + END_MORE_S, "calls did not end")
         for task in list(self.tasks):  # what the schedule still holds comes after the day
             task.cancel()
-        within_s = (max(self.longest, STOP_LEAST_US) + STOP_MORE_US) / 1e6
-        await self._unless_failed(
-            self.crew.stop_all(within_s), within_s + END_MORE_S, "proxies cannot be ended"
+        within_s = (max(self.max_deadline, MIN_STOP_US) + STOP_SLACK_US) / 1e6
+        await self._wait_unless_failed(
+            self.proxy_fleet.stop_all(within_s), within_s + END_SLACK_S, "proxies cannot be ended"
         )
-        await self._unless_failed(
-            self.emulation.hand_over(), HAND_OVER_S, "the emulation did not hand over what it saw"
+        await self._wait_unless_failed(
+            self.emulation.hand_over(), HAND_OVER_TIMEOUT_S, "the emulation did not hand over what it saw"
         )
         return self._recording()
 
@@ -131,30 +137,30 @@
         self.loop = asyncio.get_running_loop()
         self.failure: asyncio.Future[None] = self.loop.create_future()
         self.over = asyncio.Event()  # the last order has come to its end
-        self.facts = Facts(self.scratch / "lab.jsonl")
-        self.emulation = Emulation(self.scratch, keeper, self._said, self._fail)
+        self.facts = FactWriter(self.scratch / "lab.jsonl")
+        self.emulation = Emulation(self.scratch, keeper, self._handle_message, self._fail)
         add, guarded = self.facts.add, self._guarded
-        self.crew = Crew(
-            self.plan, keeper, tree, self.scratch, self.now, add, self._front, self._spawn, guarded
+        self.proxy_fleet = ProxyFleet(
+            self.plan, keeper, tree, self.scratch, self.now, add, self._set_in_front, self._spawn, guarded
         )
 
-    def _go(self) -> None:
-        self.start = self.now() + GO_AHEAD_US
+    def _start_day(self) -> None:
+        self.start = self.now() + START_LEAD_US
         self.facts.begin(self.start)
-        self.emulation.tell_all("go", at=self.start)
+        self.emulation.send_to_all("go", at=self.start)
         for n, change in enumerate(self.plan.changes):
             self._at(change.at, self._carry_out, n, change)
             if change.kind in ("start", "renew"):
-                self._at(change.at - AHEAD_US, self._prepare, change)
+                self._at(change.at - OWN_PROXY_LEAD_US, self._prestart_own_proxies, change)
 
-    async def _quiet(self) -> None:
+    async def _until_calls_end(self) -> None:
         """Until no node calls any more for orders that are over. Their own time bounds these calls."""
-        await asyncio.sleep(QUIET_S)
-        while self.emulation.open:
-            await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(QUIET_POLL_S)
+        while self.emulation.open_calls:
+            await asyncio.sleep(QUIET_POLL_S)
 
     def _recording(self) -> Recording:
-        load = self.emulation.load.done or {}
+        load = self.emulation.load.final_message or {}
         if load["complaint"]:
             raise InvalidRunError(load["complaint"])
         self.facts.close()
@@ -162,12 +168,12 @@
         merged: list[Record] = [record for path in files for record in records.read(path)]
         merged.sort(key=lambda record: record.t)
         asked = sum(isinstance(record, Asked) for record in merged)
-        notes = [*self.crew.notes, *self.emulation.stalls()]
+        notes = [*self.proxy_fleet.notes, *self.emulation.stalls()]
         return Recording("live", self.seed, merged, asked, load["late_p99_us"], notes)
 
     # ------------------------------------------------------------ what can fail
 
-    async def _unless_failed(self, what: Coroutine[Any, Any, object], within_s: float, why: str) -> None:
+    async def _wait_unless_failed(self, what: Coroutine[Any, Any, object], within_s: float, why: str) -> None:
         """Waits, unless something fails meanwhile. Raises that, or InvalidRunError where it takes too long."""
         task = asyncio.ensure_future(what)
         await asyncio.wait((task, self.failure), timeout=within_s, return_when=asyncio.FIRST_COMPLETED)
@@ -178,7 +184,7 @@
         if self.failure.done():
             self.failure.result()
         if task.cancelled():
-            raise InvalidRunError(f"{why} within {within_s:.0f} s{self.crew.last_words()}")
+            raise InvalidRunError(f"{why} within {within_s:.0f} s{self.proxy_fleet.not_ready_summary()}")
         task.result()
 
     def _fail(self, problem: Exception) -> None:
@@ -208,40 +214,40 @@
 
     # ------------------------------------------------------------ what the emulation says
 
-    def _said(self, helper: Helper, say: str, message: Message) -> None:
+    def _handle_message(self, helper: Helper, say: str, message: Message) -> None:
         if say == "over":
             self.over.set()
         elif say == "tick" and helper is self.emulation.load:
-            self._look(message)
+            self._report_progress(message)
         elif say == "up":
-            self.down.discard(message["place"])
+            self.down_nodes.discard(message["place"])
             if message["since"]:  # the others stand from the beginning
-                self._list(message, "SERVING", message["since"])
+                self._register_node(message, "SERVING", message["since"])
         elif say == "down":
-            self.down.add(message["place"])
-            self._list(message, "DELETED", 0)
-            if proxy := self.crew.owned.get(message["place"]):
+            self.down_nodes.add(message["place"])
+            self._register_node(message, "DELETED", 0)
+            if proxy := self.proxy_fleet.owned.get(message["place"]):
                 proxy.kill()
         elif say == "drains":
-            self._list(message, "DRAINING", 0)
+            self._register_node(message, "DRAINING", 0)
 
-    def _list(self, message: Message, phase: str, since: int) -> None:
+    def _register_node(self, message: Message, phase: str, since: int) -> None:
         place, node = message["place"], message["node"]
-        where = self.plan.where(place)
-        self.emulation.discovery.tell("set", place=place, node=node, phase=phase, where=where, since=since)
+        where = self.plan.node_address(place)
+        self.emulation.discovery.send("set", place=place, node=node, phase=phase, where=where, since=since)
 
-    def _look(self, tick: Message) -> None:
-        if self.watch:
-            nodes = sorted(tuple(node) for h in self.emulation.nodes for node in h.tick.get("nodes", ()))
+    def _report_progress(self, tick: Message) -> None:
+        if self.on_progress:
+            nodes = sorted(tuple(node) for h in self.emulation.nodes for node in h.last_tick.get("nodes", ()))
             counts = {key: tick[key] for key in ("t", "asked", "served", "refused", "failed")}
             latencies, until = tuple(tick["latencies"]), self.scenario.scenario.duration
-            self.watch(
+            self.on_progress(
                 ProgressSnapshot(last_arrival_at=until, latencies_us=latencies, nodes=tuple(nodes), **counts)
             )
 
-    def _front(self, proxy: ProxySpec, used: bool) -> None:
+    def _set_in_front(self, proxy: ProxySpec, used: bool) -> None:
         if not proxy.tier:
-            self.emulation.load.tell("front", proxy=proxy.name, used=used)
+            self.emulation.load.send("front", proxy=proxy.name, used=used)
 
     # ------------------------------------------------------------ the fault schedule
 
@@ -249,21 +255,21 @@
         kind = FaultBegan if change.is_start else FaultEnded
         self.facts.add(kind(self.now(), change.fault, change.kind, change.targets))
         if change.kind.startswith("peer-"):
-            if self.between:
-                self.between.change(change)
+            if self.peer_network:
+                self.peer_network.apply_fault(change)
         elif change.kind.startswith("proxy-"):
             for name in change.targets:
-                self._to_proxy(name, change.kind, change.is_start)
+                self._apply_proxy_fault(name, change.kind, change.is_start)
         elif change.kind in ("start", "renew"):
             for place in change.targets:
-                self._spawn(self._start_place(place, change.kind == "renew"))
+                self._spawn(self._start_node(place, change.kind == "renew"))
         elif change.kind.startswith("discovery-"):
-            self.emulation.discovery.tell("change", n=n)
+            self.emulation.discovery.send("change", n=n)
         else:
-            self.emulation.tell_nodes("change", n=n)
+            self.emulation.send_to_nodes("change", n=n)
 
-    def _to_proxy(self, name: str, kind: str, begins: bool) -> None:
-        proxy = self.crew.proxies[name]
+    def _apply_proxy_fault(self, name: str, kind: str, begins: bool) -> None:
+        proxy = self.proxy_fleet.proxies[name]
         if kind == "proxy-start":
             self._spawn(proxy.start())
         elif kind == "proxy-freeze":
@@ -273,18 +279,18 @@
         else:
             {"proxy-kill": proxy.kill, "proxy-stop": proxy.stop, "proxy-end": proxy.stop_now}[kind]()
 
-    def _prepare(self, change: FaultEvent) -> None:
+    def _prestart_own_proxies(self, change: FaultEvent) -> None:
         """A node's own proxy stops and starts with it; it is given time to become ready, so that the node
         need not come late."""
         for place in change.targets:
-            if place in self.down and (proxy := self.crew.owned.get(place)):
+            if place in self.down_nodes and (proxy := self.proxy_fleet.owned.get(place)):
                 self._spawn(proxy.start())
 
-    async def _start_place(self, place: str, renewed: bool) -> None:
-        if place not in self.down:
+    async def _start_node(self, place: str, renewed: bool) -> None:
+        if place not in self.down_nodes:
             return
-        if proxy := self.crew.owned.get(place):
+        if proxy := self.proxy_fleet.owned.get(place):
             await proxy.start()
             with suppress(TimeoutError):
-                await asyncio.wait_for(proxy.ready.wait(), READY_WITHIN_S)
-        self.emulation.tell_nodes("start", place=place, renewed=renewed)
+                await asyncio.wait_for(proxy.ready.wait(), READY_TIMEOUT_S)
+        self.emulation.send_to_nodes("start", place=place, renewed=renewed)
--- a/slatelab/live/schedule_lag.py
+++ b/slatelab/live/schedule_lag.py
@@ -5,38 +5,38 @@
 
 from array import array
 
-MOST_P99_US = 10_000
-MOST_MEAN_US = 50_000  # in any one second
-SECOND = 1_000_000
+MAX_P99_US = 10_000
+MAX_MEAN_US = 50_000  # in any one second
+SECOND_US = 1_000_000
 
 
 class ScheduleLag:
     """Takes, for each try, when it was to be sent and how late it was taken up."""
 
     def __init__(self) -> None:
-        self._all = array("q")
-        self._seconds: dict[int, tuple[int, int]] = {}  # count and sum
+        self._lags_us = array("q")
+        self._by_second: dict[int, tuple[int, int]] = {}  # count and sum
 
     def record(self, intended: int, by_us: int) -> None:
-        self._all.append(by_us)
-        count, whole = self._seconds.get(intended // SECOND, (0, 0))
-        self._seconds[intended // SECOND] = (count + 1, whole + by_us)
+        self._lags_us.append(by_us)
+        count, whole = self._by_second.get(intended // SECOND_US, (0, 0))
+        self._by_second[intended // SECOND_US] = (count + 1, whole + by_us)
 
     @property
     def p99_us(self) -> int:
         """The lateness that one in a hundred exceeds; 0 where nothing was sent."""
-        ordered = sorted(self._all)
+        ordered = sorted(self._lags_us)
         return ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] if ordered else 0
 
     def invalid_reason(self) -> str:
         """Why the run is no result, in one line; "" where it may be one."""
-        if (p99 := self.p99_us) > MOST_P99_US:
+        if (p99 := self.p99_us) > MAX_P99_US:
             return (
                 f"the load ran late by {p99 / 1000:.1f} ms at p99: this machine is too busy for this scenario"
             )
-        second, mean = max(((s, whole / count) for s, (count, whole) in self._seconds.items()),
+        second, mean = max(((s, whole / count) for s, (count, whole) in self._by_second.items()),
                            key=lambda pair: pair[1], default=(0, 0.0))  # fmt: skip
-        if mean > MOST_MEAN_US:
+        if mean > MAX_MEAN_US:
             return (
                 f"the load ran late by {mean / 1000:.1f} ms on average in second {second}: "
                 "this machine is too busy for this scenario"
--- a/slatelab/live/server_connection.py
+++ b/slatelab/live/server_connection.py
@@ -14,9 +14,9 @@
 import httptools
 
 LINGER_0 = struct.pack("ii", 1, 0)  # closing then resets the connection
-TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])\Z")
-WANTED = (b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-timeout", b"x-attrs")
-LARGEST = 256 * 1024  # of a request, head and all
+TIMEOUT_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])\Z")
+REQUEST_HEADERS = (b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-timeout", b"x-attrs")
+MAX_REQUEST_BYTES = 256 * 1024  # of a request, head and all
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -31,7 +31,7 @@
     """A whole request. `first`: when its first byte came; `timeout_us` 0: it says none."""
 
     target: str
-    first: int
+    first_byte_at: int
     request: str
     cls: str
     tenant: str
@@ -39,29 +39,29 @@
     attrs: dict[str, str]
 
 
-class Host(Protocol):
+class RequestHandler(Protocol):
     """The node that is visited."""
 
     def now(self) -> int: ...
 
-    def joined(self, visit: ServerConnection) -> None: ...
+    def connection_opened(self, visit: ServerConnection) -> None: ...
 
-    def asked(self, visit: ServerConnection, request: Request) -> None: ...
+    def request_received(self, visit: ServerConnection, request: Request) -> None: ...
 
-    def left(self, visit: ServerConnection) -> None: ...
+    def connection_closed(self, visit: ServerConnection) -> None: ...
 
 
 class ServerConnection(asyncio.Protocol):
     """`key` is the attempt now on it, 0: none; `since`, when it last came to rest."""
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
+    def __init__(self, host: RequestHandler) -> None:
+        self.handler = host
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.key = 0
-        self.since = 0
-        self.over = False
-        self._first: int | None = None
+        self.idle_since = 0
+        self.closed = False
+        self._first_byte_at: int | None = None
         self._size = 0
         self._clear()
 
@@ -72,18 +72,18 @@
     def connection_made(self, transport: BaseTransport) -> None:
         self.transport = cast(Transport, transport)
         self.transport.set_write_buffer_limits(0)
-        self.since = self.host.now()
-        self.host.joined(self)
+        self.idle_since = self.handler.now()
+        self.handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._first is None:
-            self._first = self.host.now()
+        if self._first_byte_at is None:
+            self._first_byte_at = self.handler.now()
         self._size += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             return self.reset()
-        if self._size > LARGEST:
+        if self._size > MAX_REQUEST_BYTES:
             self.reset()
 
     def on_url(self, url: bytes) -> None:
@@ -91,40 +91,40 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        if key in WANTED:
+        if key in REQUEST_HEADERS:
             self._headers[key] = value
 
     def on_message_complete(self) -> None:
-        first, self._first, self._size = self._first, None, 0
-        words = [self._headers.get(key, b"").decode("latin-1") for key in WANTED]
+        first, self._first_byte_at, self._size = self._first_byte_at, None, 0
+        words = [self._headers.get(key, b"").decode("latin-1") for key in REQUEST_HEADERS]
         request = Request(
-            self._url.decode("latin-1"), first or self.host.now(), words[0], words[1], words[2],
-            timeout_us(self._headers.get(b"x-timeout", b"")), attrs(words[4]),
+            self._url.decode("latin-1"), first or self.handler.now(), words[0], words[1], words[2],
+            parse_timeout_us(self._headers.get(b"x-timeout", b"")), parse_attrs(words[4]),
         )  # fmt: skip
         self._clear()
-        self.host.asked(self, request)
+        self.handler.request_received(self, request)
 
     def eof_received(self) -> None:
         """A caller that ends its sending has given up, as one that closes."""
-        self._leave()
+        self._notify_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._leave()
+        self._notify_closed()
 
-    def _leave(self) -> None:
-        if not self.over:
-            self.over = True
-            self.host.left(self)
+    def _notify_closed(self) -> None:
+        if not self.closed:
+            self.closed = True
+            self.handler.connection_closed(self)
 
     # ------------------------------------------------------------ what the node does with it
 
     def answer(self, status: int, extra: str, body: bytes) -> None:
         assert self.transport
-        self.since = self.host.now()
+        self.idle_since = self.handler.now()
         head = f"HTTP/1.1 {status} {REASONS[status]}\r\n{extra}Content-Length: {len(body)}\r\n\r\n"
         self.transport.write(head.encode() + body)
 
-    def deafen(self) -> None:
+    def stop_reading(self) -> None:
         """Nothing of it is read any more, not even its end."""
         if self.transport:
             self.transport.pause_reading()
@@ -139,16 +139,16 @@
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
             self.transport.abort()
-        self._leave()
+        self._notify_closed()
 
 
-def timeout_us(value: bytes) -> int:
+def parse_timeout_us(value: bytes) -> int:
     """An X-Timeout, 0 where it is none."""
-    found = TIMEOUT.match(value.strip())
+    found = TIMEOUT_PATTERN.match(value.strip())
     return max(1, int(float(found[1]) * (1000 if found[2] == b"m" else 1))) if found else 0
 
 
-def attrs(value: str) -> dict[str, str]:
+def parse_attrs(value: str) -> dict[str, str]:
     """An X-Attrs as names and values."""
     pairs = (pair.partition("=") for pair in value.split(",") if pair)
     return {name.strip(): text.strip() for name, _, text in pairs}
--- a/slatelab/live/supervisor.py
+++ b/slatelab/live/supervisor.py
@@ -3,7 +3,7 @@
 signal a process that it did not start itself, and never return with one still running.
 
 Three things end a process: `Keeper.close` on every way out of a run, the kernel when the lab itself is gone
-(`leash.py`; that goes by the thread that starts it, so one thread must start all and outlive them), and
+(`parent_death_watchdog.py`; that goes by the thread that starts it, so one thread must start all and outlive them), and
 nothing else."""
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 import psutil
 
-LEASH = Path(__file__).with_name("leash.py")
-GONE_WITHIN_S = 20.0  # a killed process that stays longer hangs in the kernel
-STOPS = (signal.SIGINT, signal.SIGTERM)
+PARENT_DEATH_WATCHDOG = Path(__file__).with_name("parent_death_watchdog.py")
+KILL_TIMEOUT_S = 20.0  # a killed process that stays longer hangs in the kernel
+STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
 @dataclass(eq=False, slots=True)
@@ -61,16 +61,18 @@
     ) -> Child:
         """Starts `command` (its first word an absolute path) in a session of its own, so that a Ctrl-C at the
         terminal reaches the lab alone. Raises OSError."""
-        with held_back():  # an interrupt between the fork and the entry would leave the process to nobody
+        with (
+            signals_blocked()
+        ):  # an interrupt between the fork and the entry would leave the process to nobody
             process = subprocess.Popen(
-                [sys.executable, "-I", "-S", str(LEASH), str(os.getpid()), *command],
+                [sys.executable, "-I", "-S", str(PARENT_DEATH_WATCHDOG), str(os.getpid()), *command],
                 cwd=cwd, env=dict(env), stdin=subprocess.DEVNULL, stdout=stderr, stderr=stderr,
                 pass_fds=pass_fds, start_new_session=True,
             )  # fmt: skip
             child = Child(name, process, -1)
             self.children.append(child)
         child.pidfd = os.pidfd_open(process.pid)
-        self._note(name=name, pid=process.pid, started=psutil.Process(process.pid).create_time())
+        self._log_event(name=name, pid=process.pid, started=psutil.Process(process.pid).create_time())
         return child
 
     def signal(self, child: Child, number: int) -> None:
@@ -89,31 +91,31 @@
             child.code = child.process.wait()
             os.close(child.pidfd)
             self.children.remove(child)
-            self._note(pid=child.pid, code=child.code)
+            self._log_event(pid=child.pid, code=child.code)
         return child.code
 
     def close(self) -> None:
         """Kills what is left and proves that all of it is gone. Raises RuntimeError naming what stays."""
-        with held_back():
+        with signals_blocked():
             for child in self.children:
                 _kill_group(child.pid)
             for child in list(self.children):
-                self._bury(child)
+                self._reap_killed(child)
             self._list.close()
         if self.children:
             raise RuntimeError(f"cannot be ended: {', '.join(f'{c.name} ({c.pid})' for c in self.children)}")
 
-    def _bury(self, child: Child) -> None:
+    def _reap_killed(self, child: Child) -> None:
         try:
-            child.code = child.process.wait(GONE_WITHIN_S)
+            child.code = child.process.wait(KILL_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             return
         if child.pidfd >= 0:
             os.close(child.pidfd)
         self.children.remove(child)
-        self._note(pid=child.pid, code=child.code)
+        self._log_event(pid=child.pid, code=child.code)
 
-    def _note(self, **line: object) -> None:
+    def _log_event(self, **line: object) -> None:
         self._list.write(json.dumps(line) + "\n")
 
 
@@ -140,10 +142,12 @@
             started[line["pid"]] = line
         else:
             started.pop(line["pid"], None)
-    return [f"{line['name']} ({pid})" for pid, line in started.items() if _same(pid, line["started"])]
+    return [
+        f"{line['name']} ({pid})" for pid, line in started.items() if _is_same_process(pid, line["started"])
+    ]
 
 
-def _same(pid: int, started: object) -> bool:
+def _is_same_process(pid: int, started: object) -> bool:
     """Whether the process of this number is the one that was started then, not a later one."""
     try:
         process = psutil.Process(pid)
@@ -155,9 +159,9 @@
 
 
 @contextmanager
-def held_back() -> Iterator[None]:
+def signals_blocked() -> Iterator[None]:
     """Interrupts wait until the block is over."""
-    old = signal.pthread_sigmask(signal.SIG_BLOCK, STOPS)
+    old = signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     try:
         yield
     finally:
--- a/slatelab/peers/membership_simulation.py
+++ b/slatelab/peers/membership_simulation.py
@@ -16,14 +16,14 @@
 
 EPOCH = 1_700_000_000_000_000
 KEY = (b"\0\1\2\3", bytes(range(32)))
-Make = Callable[[PeerIdentity, int, Random], Peer]
+PeerFactory = Callable[[PeerIdentity, int, Random], Peer]
 
 
 class MembershipSimulation:
     """`start` and `stop` members by name; `run` until a time. `log`: (time, whose news, change)."""
 
     def __init__(
-        self, seed: int, terms: MembershipConfig | None = None, make_peer: Make | None = None
+        self, seed: int, terms: MembershipConfig | None = None, make_peer: PeerFactory | None = None
     ) -> None:
         self.rng = Random(seed)
         self.net = PeerNetwork(Random(seed + 1))
@@ -35,8 +35,8 @@
         self.frozen: dict[str, list[bytes]] = {}
         self.log: list[tuple[int, str, MemberChange]] = []
         self._queue: list[tuple[int, int, str, Any]] = []
-        self._order = 0
-        self._woken: dict[str, int] = {}  # when each is to be rung next
+        self._sequence = 0
+        self._next_wakeup: dict[str, int] = {}  # when each is to be rung next
 
     def place(self, name: str, seeds: int = 2) -> PeerIdentity:
         first = tuple(sorted(self.addresses))[:seeds]
@@ -56,7 +56,7 @@
                 self.peers[name].membership.leave(self.now)
                 self._process_output(name)
             del self.peers[name]
-            self._woken.pop(name, None)
+            self._next_wakeup.pop(name, None)
             self.frozen.pop(name, None)
 
     def freeze(self, name: str) -> None:
@@ -66,7 +66,7 @@
         """It finds in its socket what came meanwhile, as much as a socket holds; and then that it is late."""
         for data in self.frozen.pop(name)[:200]:
             self.peers[name].receive(self.now, data)
-        self._ring(name)
+        self._advance_peer(name)
 
     def run(self, span_us: int) -> None:
         end = self.now + span_us
@@ -76,8 +76,8 @@
             if name not in self.peers:
                 continue
             if data is None:
-                if self._woken.get(name) == due and name not in self.frozen:
-                    self._ring(name)
+                if self._next_wakeup.get(name) == due and name not in self.frozen:
+                    self._advance_peer(name)
             elif name in self.frozen:
                 self.frozen[name].append(data)
             else:
@@ -85,9 +85,9 @@
                 self._process_output(name)
         self.now = end
 
-    def _ring(self, name: str) -> None:
+    def _advance_peer(self, name: str) -> None:
         peer = self.peers[name]
-        peer.advance(self.now, max(0, self.now - self._woken[name]))
+        peer.advance(self.now, max(0, self.now - self._next_wakeup[name]))
         self._process_output(name)
 
     def _process_output(self, name: str) -> None:
@@ -96,16 +96,20 @@
             receiver = self.addresses.get((host, port))
             if receiver in self.peers:
                 for wait, copy in self.net.deliveries(name, receiver, data):
-                    self._put(self.now + wait, receiver, copy)
+                    self._schedule(self.now + wait, receiver, copy)
         self.log += [(self.now, name, change) for change in peer.drain_changes()]
         due = max(self.now + 1, peer.next_deadline())
-        if self._woken.get(name) is None or due < self._woken[name] or self._woken[name] <= self.now:
-            self._woken[name] = due
-            self._put(due, name, None)
-
-    def _put(self, due: int, name: str, data: Any) -> None:
-        self._order += 1
-        heappush(self._queue, (due, self._order, name, data))
+        if (
+            self._next_wakeup.get(name) is None
+            or due < self._next_wakeup[name]
+            or self._next_wakeup[name] <= self.now
+        ):
+            self._next_wakeup[name] = due
+            self._schedule(due, name, None)
+
+    def _schedule(self, due: int, name: str, data: Any) -> None:
+        self._sequence += 1
+        heappush(self._queue, (due, self._sequence, name, data))
 
     def has_converged(self) -> bool:
         """Whether everybody holds everybody for alive, and nobody else."""
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -18,11 +18,11 @@
 from slatehub.copies.reconfiguration import voter_names as voting
 from slatehub.copies.replica import WRITTEN
 
-from .replica_simulation import MS, SECOND, Build, ReplicaSimulation, linearizability_violations
+from .replica_simulation import MS, SECOND, ReplicaFactory, ReplicaSimulation, linearizability_violations
 
 KINDS = ("ask", "crash", "wipe", "freeze", "cut", "mute", "lossy", "full", "slow", "clock", "halt", "trap")
-WEIGHTS = (0, 4, 3, 4, 3, 3, 3, 1, 2, 2, 1, 2)
-LENGTH = 12 * SECOND
+KIND_WEIGHTS = (0, 4, 3, 4, 3, 3, 3, 1, 2, 2, 1, 2)
+RUN_US = 12 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,24 +47,24 @@
 def drawn(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
     rng = Random(seed)
     events = [
-        Event(rng.randrange(LENGTH), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
+        Event(rng.randrange(RUN_US), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
         for _ in range(asks)
     ]
     for _ in range(rng.randrange(1, faults + 1)):
-        kind = rng.choices(KINDS, WEIGHTS)[0]
+        kind = rng.choices(KINDS, KIND_WEIGHTS)[0]
         span = int(rng.choice((50 * MS, 300 * MS, SECOND, 3 * SECOND)) * (0.5 + rng.random()))
-        events.append(Event(rng.randrange(LENGTH), kind, rng.randrange(size), span, rng.random()))
+        events.append(Event(rng.randrange(RUN_US), kind, rng.randrange(size), span, rng.random()))
     return sorted(events, key=lambda event: event.at)
 
 
 class Player:
-    def __init__(self, seed: int, size: int, build: Build | None, same_number: bool = False) -> None:
+    def __init__(self, seed: int, size: int, build: ReplicaFactory | None, same_number: bool = False) -> None:
         self.names = [f"p{i}" for i in range(size)]
         self.simulation = ReplicaSimulation(seed, self.names, build=build)
         self.simulation.reuse_store_id = same_number
         self.rng = Random(seed + 7)
         self.counts: Counter[str] = Counter()
-        self.cuts = 0
+        self.partition_count = 0
 
     def play(self, events: Sequence[Event]) -> RunResult:
         votes = self.simulation
@@ -72,8 +72,8 @@
         votes.run(2 * SECOND)
         for event in events:
             votes.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
-        votes.run(LENGTH)
-        self._end()
+        votes.run(RUN_US)
+        self._end_all_faults()
         keys = sorted({asked.key for asked in votes.history})
         unread = [key for key in keys if votes.read(key) is None]
         found = linearizability_violations(votes.history) + [
@@ -83,11 +83,11 @@
         self.counts.update(asked.outcome for asked in votes.history)
         return RunResult(found, self.counts, late)
 
-    def _end(self) -> None:
+    def _end_all_faults(self) -> None:
         """All faults are over."""
         votes = self.simulation
         votes.net.partitions.clear()
-        self._calm()
+        self._clear_datagram_faults()
         for name in list(votes.frozen):
             votes.unfreeze(name)
         for name in self.names:
@@ -98,7 +98,7 @@
             votes.disks[name].delay = 200
         votes.run(10 * SECOND)
 
-    def _calm(self) -> None:
+    def _clear_datagram_faults(self) -> None:
         weather = self.simulation.net.faults
         weather.loss = weather.duplication = weather.reordering = 0.0
 
@@ -110,14 +110,14 @@
         self.counts[f"fault {event.kind}"] += 1
         getattr(self, f"_{event.kind}")(name, event)
 
-    def _back(self, name: str, span: int) -> None:
+    def _start_later(self, name: str, span: int) -> None:
         self.simulation.call_after(
             span, lambda: None if name in self.simulation.running else self.simulation.start(name)
         )
 
     def _crash(self, name: str, event: Event) -> None:
         self.simulation.crash(name)
-        self._back(name, event.duration)
+        self._start_later(name, event.duration)
 
     def _wipe(self, name: str, event: Event) -> None:
         """Only while the group can bear it: all the others vote with the memory that they have."""
@@ -130,7 +130,7 @@
         if whole and held and newest and name in voting(newest):
             self.counts["wiped"] += 1
             votes.crash(name, wipe=True)
-            self._back(name, event.duration)
+            self._start_later(name, event.duration)
 
     def _trap(self, name: str, event: Event) -> None:
         """What one wrote together with a second while the third was cut off; then the second loses its memory, and is
@@ -149,8 +149,8 @@
         self.simulation.call_after(event.duration, lambda: self.simulation.unfreeze(name))
 
     def _cut(self, name: str, event: Event, both: bool = True) -> None:
-        self.cuts += 1
-        fault = f"cut-{self.cuts}"
+        self.partition_count += 1
+        fault = f"cut-{self.partition_count}"
         side = [name] if event.magnitude < 0.5 else [name, self.names[(event.machine + 1) % len(self.names)]]
         self.simulation.net.partition(fault, side, [n for n in self.names if n not in side], both)
         self.simulation.call_after(event.duration, lambda: self.simulation.net.heal(fault))
@@ -166,13 +166,13 @@
             0.3,
             300 * MS,
         )
-        self.simulation.call_after(event.duration, lambda: self._calm())
+        self.simulation.call_after(event.duration, lambda: self._clear_datagram_faults())
 
     def _full(self, name: str, event: Event) -> None:
         """Until it is started again, with room."""
         self.simulation.fill_disk(name)
         self.simulation.call_after(event.duration, lambda: self.simulation.crash(name))
-        self._back(name, event.duration + 10 * MS)
+        self._start_later(name, event.duration + 10 * MS)
 
     def _slow(self, name: str, event: Event) -> None:
         if disk := self.simulation.disks.get(name):
@@ -183,19 +183,19 @@
         """A clock that is wrong, from the next start on: a running one does not jump (it is monotonic)."""
         self.simulation.crash(name)
         self.simulation.clocks[name] = int((event.magnitude - 0.5) * 600 * SECOND)
-        self._back(name, event.duration)
+        self._start_later(name, event.duration)
 
     def _halt(self, name: str, event: Event) -> None:
         """All at once."""
         for one in self.names:
             self.simulation.crash(one)
-            self._back(one, int(event.duration * self.rng.random()))
+            self._start_later(one, int(event.duration * self.rng.random()))
 
 
 def run_seed(
     seed: int,
     size: int = 3,
-    build: Build | None = None,
+    build: ReplicaFactory | None = None,
     events: Sequence[Event] | None = None,
     reuse_store_id: bool = False,
 ) -> RunResult:
@@ -203,7 +203,7 @@
     return Player(seed, size, build, reuse_store_id).play(drawn(seed, size) if events is None else events)
 
 
-def shrink(seed: int, size: int, build: Build | None = None) -> tuple[list[Event], RunResult]:
+def shrink(seed: int, size: int, build: ReplicaFactory | None = None) -> tuple[list[Event], RunResult]:
     """The least of the day's events, one by one left out, that still breaks a rule."""
     events = drawn(seed, size)
     day = run_seed(seed, size, build, events)
@@ -221,7 +221,7 @@
     return events, day
 
 
-def _one(job: tuple[int, int]) -> tuple[int, RunResult]:
+def _run_job(job: tuple[int, int]) -> tuple[int, RunResult]:
     return job[0], run_seed(*job)
 
 
@@ -236,7 +236,7 @@
     seeds = range(int(first), int(last or first) + 1)
     began, counts, bad, longest = time.perf_counter(), Counter[str](), list[int](), 0
     with ProcessPoolExecutor(args.jobs) as pool:
-        for seed, day in pool.map(_one, [(seed, args.size) for seed in seeds], chunksize=4):
+        for seed, day in pool.map(_run_job, [(seed, args.size) for seed in seeds], chunksize=4):
             counts.update(day.counts)
             longest = max(longest, day.longest)
             if day.violations:
--- a/slatelab/peers/relay.py
+++ b/slatelab/peers/relay.py
@@ -17,7 +17,7 @@
 Address = tuple[str, int]
 
 
-def _bound() -> socket.socket:
+def _bound_socket() -> socket.socket:
     """At a loopback address for UDP that nobody has."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
@@ -26,7 +26,7 @@
 
 def free_udp_addresses(names: Sequence[str]) -> dict[str, Address]:
     """A loopback address for UDP for each, that nobody has; held until all are drawn, so that no two get the same."""
-    drawn = {name: _bound() for name in names}
+    drawn = {name: _bound_socket() for name in names}
     found: dict[str, Address] = {name: sock.getsockname() for name, sock in drawn.items()}
     for sock in drawn.values():
         sock.close()
@@ -39,12 +39,12 @@
     def __init__(self, net: PeerNetwork, names: list[str]) -> None:
         self.net, self.lock = net, threading.Lock()
         self.carried: Counter[tuple[str, str]] = Counter()
-        self.socks = {name: _bound() for name in names}
+        self.socks = {name: _bound_socket() for name in names}
         self.listen_addresses = free_udp_addresses(names)
-        self.by_source = {place: name for name, place in self.listen_addresses.items()}
-        self._late: list[tuple[float, int, str, str, bytes]] = []
-        self._count = 0
-        self._on = True
+        self.name_by_source = {place: name for name, place in self.listen_addresses.items()}
+        self._delayed: list[tuple[float, int, str, str, bytes]] = []
+        self._sequence = 0
+        self._running = True
         self._selector = selectors.DefaultSelector()
         for name, sock in self.socks.items():
             sock.setblocking(False)
@@ -57,29 +57,29 @@
         return host, port
 
     def _run(self) -> None:
-        while self._on:
-            wait = max(0.0, self._late[0][0] - time.monotonic()) if self._late else 0.05
+        while self._running:
+            wait = max(0.0, self._delayed[0][0] - time.monotonic()) if self._delayed else 0.05
             for key, _ in self._selector.select(min(wait, 0.05)):
-                self._take(key.data)
-            while self._late and self._late[0][0] <= time.monotonic():
-                _, _, sender, receiver, data = heappop(self._late)
-                self._pass(sender, receiver, data)
+                self._receive(key.data)
+            while self._delayed and self._delayed[0][0] <= time.monotonic():
+                _, _, sender, receiver, data = heappop(self._delayed)
+                self._forward(sender, receiver, data)
 
-    def _take(self, receiver: str) -> None:
+    def _receive(self, receiver: str) -> None:
         try:
             data, source = self.socks[receiver].recvfrom(65536)
         except OSError:
             return
-        sender = self.by_source.get(source)
+        sender = self.name_by_source.get(source)
         if sender is None:
             return
         with self.lock:
             copies = self.net.deliveries(sender, receiver, data)
         for wait, copy in copies:
-            self._count += 1
-            heappush(self._late, (time.monotonic() + wait / 1e6, self._count, sender, receiver, copy))
+            self._sequence += 1
+            heappush(self._delayed, (time.monotonic() + wait / 1e6, self._sequence, sender, receiver, copy))
 
-    def _pass(self, sender: str, receiver: str, data: bytes) -> None:
+    def _forward(self, sender: str, receiver: str, data: bytes) -> None:
         self.carried[sender, receiver] += 1
         try:
             self.socks[sender].sendto(data, self.listen_addresses[receiver])
@@ -87,7 +87,7 @@
             pass  # nobody listens there now
 
     def close(self) -> None:
-        self._on = False
+        self._running = False
         self._thread.join()
         for sock in self.socks.values():
             sock.close()
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -60,20 +60,24 @@
         return found if self.token in tokens(found) else found + self.token
 
 
-Build = Callable[[str, int, int, Random, bool], Replica]
+ReplicaFactory = Callable[[str, int, int, Random, bool], Replica]
 
 
 class ReplicaSimulation:
     """`names` are the founders. `crash` leaves the disk, `wipe` does not; a name that is `running` runs."""
 
     def __init__(
-        self, seed: int, names: list[str], terms: ReplicaConfig | None = None, build: Build | None = None
+        self,
+        seed: int,
+        names: list[str],
+        terms: ReplicaConfig | None = None,
+        build: ReplicaFactory | None = None,
     ) -> None:
         self.rng = Random(seed)
         self.net = PeerNetwork(Random(seed + 1))
         self.founders = list(names)
         self.terms = terms or ReplicaConfig()
-        self.build = build or self._usual
+        self.build = build or self._default_build
         self.now = EPOCH
         self.disks: dict[str, Disk] = {}
         self.running: dict[str, Replica] = {}
@@ -84,8 +88,8 @@
         self.open: dict[tuple[str, int, int], Operation] = {}
         self.lines: list[tuple[int, str, str]] = []
         self._queue: list[tuple[int, int, str, str, Any]] = []
-        self._count = 0
-        self._woken: dict[str, int] = {}
+        self._sequence = 0
+        self._next_wakeup: dict[str, int] = {}
         self.tokens = 0
         self.messages_sent = 0
         self.reuse_store_id = False  # planted: who has lost its memory passes for the voter that it was
@@ -93,7 +97,7 @@
             None  # of datagram n: how many copies arrive
         )
 
-    def _usual(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
+    def _default_build(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
         return Replica(name, store, self.founders, now, rng, self.terms, founding=founding)
 
     # ------------------------------------------------------------ machines
@@ -109,7 +113,7 @@
             )
             machine.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
             self.running[name] = machine
-            self._woken.pop(name, None)
+            self._next_wakeup.pop(name, None)
             self._process_output(name)
 
     def _clock(self, name: str) -> int:
@@ -123,7 +127,7 @@
             disk.unsynced.clear()
             disk.busy = disk.full = False
             for key in [k for k in self.open if k[0] == name]:
-                self._ended(self.open.pop(key), UNCERTAIN, b"")
+                self._end_operation(self.open.pop(key), UNCERTAIN, b"")
         self.frozen.pop(name, None)
         self.lives[name] = self.lives.get(name, 0) + 1
         if wipe and name in self.disks:
@@ -137,9 +141,9 @@
 
     def unfreeze(self, name: str) -> None:
         for sender, data in self.frozen.pop(name, [])[:200]:
-            self._take(name, sender, data)
+            self._receive(name, sender, data)
         if name in self.running:
-            self._ring(name)
+            self._advance_replica(name)
 
     def fill_disk(self, name: str) -> None:
         """Its disk takes nothing any more."""
@@ -161,7 +165,7 @@
         self._process_output(name)
         return asked
 
-    def _ended(self, asked: Operation, how: str, value: bytes) -> None:
+    def _end_operation(self, asked: Operation, how: str, value: bytes) -> None:
         asked.ended, asked.outcome, asked.value = self.now, how, value
 
     # ------------------------------------------------------------ time
@@ -179,22 +183,24 @@
                 if name in self.frozen:
                     self.frozen[name].append(what)
                 else:
-                    self._take(name, *what)
+                    self._receive(name, *what)
             elif kind == "synced":
                 self._synced(name, what)
-            elif self._woken.get(name) == due and name not in self.frozen and what == self.lives[name]:
-                self._ring(name)
+            elif self._next_wakeup.get(name) == due and name not in self.frozen and what == self.lives[name]:
+                self._advance_replica(name)
         self.now = end
 
     def call_after(self, span: int, call: Callable[[], Any]) -> None:
-        self._put(self.now + span, "call", "", call)
+        self._schedule(self.now + span, "call", "", call)
 
-    def _take(self, name: str, sender: str, data: bytes) -> None:
+    def _receive(self, name: str, sender: str, data: bytes) -> None:
         self.running[name].receive(self._clock(name), sender, unpack(data))
         self._process_output(name)
 
-    def _ring(self, name: str) -> None:
-        self.running[name].advance(self._clock(name), max(0, self.now - self._woken.get(name, self.now)))
+    def _advance_replica(self, name: str) -> None:
+        self.running[name].advance(
+            self._clock(name), max(0, self.now - self._next_wakeup.get(name, self.now))
+        )
         self._process_output(name)
 
     def _process_output(self, name: str) -> None:
@@ -212,9 +218,13 @@
         self.lines += [(self.now, name, line) for line in machine.log_lines]
         machine.log_lines.clear()
         due = max(self.now + 1, machine.next_deadline() - self.clocks.get(name, 0))
-        if name not in self._woken or due < self._woken[name] or self._woken[name] <= self.now:
-            self._woken[name] = due
-            self._put(due, "ring", name, self.lives[name])
+        if (
+            name not in self._next_wakeup
+            or due < self._next_wakeup[name]
+            or self._next_wakeup[name] <= self.now
+        ):
+            self._next_wakeup[name] = due
+            self._schedule(due, "ring", name, self.lives[name])
 
     def _send(self, name: str, to: str, data: bytes) -> None:
         self.messages_sent += 1
@@ -222,7 +232,7 @@
         if self.copies_override:
             copies = copies[:1] * self.copies_override(self.messages_sent, name, to)
         for wait, copy in copies:
-            self._put(self.now + wait, "data", to, (name, copy))
+            self._schedule(self.now + wait, "data", to, (name, copy))
 
     def _sync(self, name: str) -> None:
         disk = self.disks[name]
@@ -233,7 +243,7 @@
                 return
             disk.busy = True
             delay = 1 + int(disk.delay * 2 * self.rng.random())
-            self._put(self.now + delay, "synced", name, (self.lives[name], len(disk.unsynced)))
+            self._schedule(self.now + delay, "synced", name, (self.lives[name], len(disk.unsynced)))
 
     def _synced(self, name: str, what: tuple[int, int]) -> None:
         life, count = what
@@ -250,16 +260,16 @@
             if (
                 name in self.frozen
             ):  # the disk goes on while the process stands still; it hears of it when it wakes
-                self.call_after(0, lambda: self._told(name, life, count))
+                self.call_after(0, lambda: self._mark_durable_later(name, life, count))
                 return
             machine.mark_durable(self._clock(name), machine.durable_index + count)
         self._process_output(name)
 
-    def _told(self, name: str, life: int, count: int) -> None:
+    def _mark_durable_later(self, name: str, life: int, count: int) -> None:
         if life != self.lives[name] or name not in self.running:
             return
         if name in self.frozen:
-            self.call_after(10 * MS, lambda: self._told(name, life, count))
+            self.call_after(10 * MS, lambda: self._mark_durable_later(name, life, count))
             return
         self.running[name].mark_durable(self._clock(name), self.running[name].durable_index + count)
         self._process_output(name)
@@ -267,11 +277,11 @@
     def _result(self, name: str, result: OperationResult) -> None:
         asked = self.open.pop((name, self.lives[name], result.operation), None)
         if asked:
-            self._ended(asked, result.outcome, result.value)
+            self._end_operation(asked, result.outcome, result.value)
 
-    def _put(self, due: int, kind: str, name: str, what: Any) -> None:
-        self._count += 1
-        heappush(self._queue, (due, self._count, kind, name, what))
+    def _schedule(self, due: int, kind: str, name: str, what: Any) -> None:
+        self._sequence += 1
+        heappush(self._queue, (due, self._sequence, kind, name, what))
 
     # ------------------------------------------------------------ judged
 
@@ -296,11 +306,11 @@
     found: list[str] = []
     for key in sorted({asked.key for asked in history}):
         ops = [asked for asked in history if asked.key == key]
-        found += _of_register(key, ops)
+        found += _register_violations(key, ops)
     return found
 
 
-def _of_register(key: bytes, ops: list[Operation]) -> list[str]:
+def _register_violations(key: bytes, ops: list[Operation]) -> list[str]:
     done = [op for op in ops if op.outcome == WRITTEN]
     if not done:
         return []
@@ -312,7 +322,9 @@
     for op in done:
         seen = tokens(op.value)
         if seen != final[: len(seen)] or op.token not in seen:
-            text = f"token {_short(op.token)} was answered {_list(seen)}, in the end {_list(final)}"
+            text = (
+                f"token {_short(op.token)} was answered {_token_list(seen)}, in the end {_token_list(final)}"
+            )
             found.append(f"{key.hex()[:6]}: {text}")
     for op in ops:
         if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in place:
@@ -334,5 +346,5 @@
     return str(int.from_bytes(token, "big"))
 
 
-def _list(some: list[bytes]) -> str:
+def _token_list(some: list[bytes]) -> str:
     return "[" + " ".join(map(_short, some)) + "]"
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -38,8 +38,8 @@
 from slatelab.scenario import Scenario, parse
 
 ROOT = Path(__file__).parents[2]
-SOON = 20.0  # for what must come
-NOTHING = 0.3  # for what must not
+EXPECTED_WITHIN_S = 20.0  # for what must come
+QUIET_PERIOD_S = 0.3  # for what must not
 
 
 def scenario(duration: str = "2 s", rate: str = "40/s", **more: Any) -> Scenario:
@@ -51,23 +51,23 @@
     return parse({**tree, **more})
 
 
-def pids(scratch: Path) -> dict[str, int]:
+def started_pids(scratch: Path) -> dict[str, int]:
     """All that a run has started, by name."""
     lines = [json.loads(line) for line in (scratch / "processes.jsonl").read_text().splitlines()]
     return {line["name"]: line["pid"] for line in lines if "name" in line}
 
 
-def runs(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         return psutil.Process(pid).status() != psutil.STATUS_ZOMBIE
     except psutil.NoSuchProcess:
         return False
 
 
-def all_gone(scratch: Path) -> bool:
+def wait_until_all_gone(scratch: Path) -> bool:
     """Waits for it: a kill takes its time in the kernel."""
-    end = time.monotonic() + SOON
-    while (left := any(map(runs, pids(scratch).values()))) and time.monotonic() < end:
+    end = time.monotonic() + EXPECTED_WITHIN_S
+    while (left := any(map(is_running, started_pids(scratch).values()))) and time.monotonic() < end:
         time.sleep(0.01)
     return not left
 
@@ -82,11 +82,13 @@
     seen = Counter(type(record) for record in recording.records)
     assert seen[Asked] == seen[Answered] == 80 <= seen[Replied] <= seen[Came]
     assert judge(what, recording.records).violations == []
-    assert {"load", "discovery", "nodes-0", "p-front-1"} == set(pids(tmp_path)) and all_gone(tmp_path)
+    assert {"load", "discovery", "nodes-0", "p-front-1"} == set(
+        started_pids(tmp_path)
+    ) and wait_until_all_gone(tmp_path)
     assert ticks and {name for name, _, _ in ticks[-1].nodes} == {"s-front-1", "s-front-2", "s-front-3"}
 
 
-LAB = """
+LAB_SCRIPT = """
 import json, sys
 from pathlib import Path
 from slatelab.live import run
@@ -102,24 +104,24 @@
             "class": [{"name": "a", "work": {"mean": "5 ms"}}],
             "tier": [{"name": "front", "kind": [{"name": "k", "nodes": 1}]}],
             "arrivals": [{"kind": "steady", "rate": "10/s"}]}  # fmt: skip
-    command = [sys.executable, "-c", LAB, str(ROOT), str(tmp_path), json.dumps(what)]
+    command = [sys.executable, "-c", LAB_SCRIPT, str(ROOT), str(tmp_path), json.dumps(what)]
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     lab = subprocess.Popen(command, env=env, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     assert lab.stdout and lab.stdout.readline() == "tick\n"
-    assert len(pids(tmp_path)) == 4 and all(map(runs, pids(tmp_path).values()))
+    assert len(started_pids(tmp_path)) == 4 and all(map(is_running, started_pids(tmp_path).values()))
     lab.send_signal(number)
-    assert lab.wait(SOON) != 0
-    assert all_gone(tmp_path) and leftover_processes(tmp_path) == []
+    assert lab.wait(EXPECTED_WITHIN_S) != 0
+    assert wait_until_all_gone(tmp_path) and leftover_processes(tmp_path) == []
 
 
 def test_a_node_process_that_dies_makes_the_run_invalid(tmp_path: Path) -> None:
     def kill(tick: ProgressSnapshot) -> None:
-        if runs(pid := pids(tmp_path)["nodes-0"]):
+        if is_running(pid := started_pids(tmp_path)["nodes-0"]):
             os.kill(pid, signal.SIGKILL)
 
     with pytest.raises(InvalidRunError, match=r"nodes-0, a process of the lab, ended by itself with code -9"):
         run(scenario("30 s"), 1, tmp_path, kill, ROOT, tmp_path)
-    assert all_gone(tmp_path)
+    assert wait_until_all_gone(tmp_path)
 
 
 def test_a_starved_load_generator_says_so(tmp_path: Path) -> None:
@@ -143,37 +145,37 @@
 # ---------------------------------------------------------------- one node on its sockets
 
 
-class Town:
+class NodeFixture:
     """A place alone, and what it tells."""
 
     def __init__(self, tmp: Path, at: Addresses) -> None:
         loop, what = asyncio.get_running_loop(), scenario()
         self.clock = Clock(loop, monotonic_us())
-        self.calm = ActiveFaults(what).conditions_for("s-front-1")
-        self.told: list[str] = []
+        self.no_faults = ActiveFaults(what).conditions_for("s-front-1")
+        self.notifications: list[str] = []
         self.address = (at.node(0), at.port)
-        self.place = EmulatedNode(
+        self.node = EmulatedNode(
             HelperChannel(loop, JobContext("town", monotonic_us(), tmp / "facts")), what, RandomStreams(1),
             NodeLocation(build_nodes(what, RandomStreams(1))[0], *self.address),
-            lambda say, **more: self.told.append(say),
+            lambda say, **more: self.notifications.append(say),
         )  # fmt: skip
-        self.place.start(False, self.calm, False)
+        self.node.start(False, self.no_faults, False)
 
-    async def visit(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.wait_for(asyncio.open_connection(*self.address), SOON)
+    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        return await asyncio.wait_for(asyncio.open_connection(*self.address), EXPECTED_WITHIN_S)
 
 
 REQUEST = b"GET /job-status HTTP/1.1\r\nX-Request-ID: o1.0\r\nX-Priority-Class: job-status\r\n" \
           b"X-Timeout: 60000m\r\nX-Attrs: order=1,seed=7,work=1000,path=,proxy=p\r\n\r\n"  # fmt: skip
 
 
-def play(tmp: Path, act: Callable[[Town], Awaitable[None]]) -> None:
+def run_with_node(tmp: Path, act: Callable[[NodeFixture], Awaitable[None]]) -> None:
     at = Addresses()
 
     async def main() -> None:
-        town = Town(tmp, at)
+        town = NodeFixture(tmp, at)
         await act(town)
-        town.place.close()
+        town.node.close()
 
     try:
         uvloop.run(main())
@@ -181,143 +183,143 @@
         at.close()
 
 
-async def nothing(what: Awaitable[object]) -> None:
+async def assert_times_out(what: Awaitable[object]) -> None:
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(what, NOTHING)
+        await asyncio.wait_for(what, QUIET_PERIOD_S)
 
 
 def test_a_black_hole_hangs_connects_and_its_end_resets_what_was_open(tmp_path: Path) -> None:
-    async def act(town: Town) -> None:
-        reader, writer = await town.visit()
-        town.place.isolate()
-        await nothing(asyncio.open_connection(*town.address))
+    async def act(town: NodeFixture) -> None:
+        reader, writer = await town.connect()
+        town.node.isolate()
+        await assert_times_out(asyncio.open_connection(*town.address))
         writer.write(REQUEST)
-        await nothing(reader.read(1))
-        town.place.end_isolation()
+        await assert_times_out(reader.read(1))
+        town.node.end_isolation()
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), SOON)
-        reader, writer = await town.visit()
+            await asyncio.wait_for(reader.read(1), EXPECTED_WITHIN_S)
+        reader, writer = await town.connect()
         writer.write(REQUEST)
-        assert await asyncio.wait_for(reader.readline(), SOON) == b"HTTP/1.1 200 OK\r\n"
+        assert await asyncio.wait_for(reader.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
 
-    play(tmp_path, act)
+    run_with_node(tmp_path, act)
 
 
 def test_a_frozen_node_takes_connections_and_answers_once_it_thaws(tmp_path: Path) -> None:
-    async def act(town: Town) -> None:
-        town.place.set_condition({**town.calm, "frozen": True})
-        reader, writer = await town.visit()
+    async def act(town: NodeFixture) -> None:
+        town.node.set_condition({**town.no_faults, "frozen": True})
+        reader, writer = await town.connect()
         writer.write(REQUEST)
-        prober, probe = await town.visit()
+        prober, probe = await town.connect()
         probe.write(b"GET /health HTTP/1.1\r\n\r\n")
-        await nothing(reader.read(1))
-        await nothing(prober.read(1))
-        town.place.set_condition(town.calm)
-        assert await asyncio.wait_for(reader.readline(), SOON) == b"HTTP/1.1 200 OK\r\n"
-        assert await asyncio.wait_for(prober.readline(), SOON) == b"HTTP/1.1 200 OK\r\n"
+        await assert_times_out(reader.read(1))
+        await assert_times_out(prober.read(1))
+        town.node.set_condition(town.no_faults)
+        assert await asyncio.wait_for(reader.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
+        assert await asyncio.wait_for(prober.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
 
-    play(tmp_path, act)
+    run_with_node(tmp_path, act)
 
 
 def test_a_killed_node_resets_its_connections_and_refuses_new_ones(tmp_path: Path) -> None:
-    async def act(town: Town) -> None:
-        reader, _ = await town.visit()
-        while not town.place.connections:
+    async def act(town: NodeFixture) -> None:
+        reader, _ = await town.connect()
+        while not town.node.connections:
             await asyncio.sleep(0)
-        town.place.crash("killed")
+        town.node.crash("killed")
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), SOON)
+            await asyncio.wait_for(reader.read(1), EXPECTED_WITHIN_S)
         with pytest.raises(ConnectionRefusedError):
-            await town.visit()
-        town.place.restart(True, town.calm, False)
-        await town.visit()
-        assert town.told == ["up", "down", "up"] and town.place.spec.id == "s-front-1-r1"
+            await town.connect()
+        town.node.restart(True, town.no_faults, False)
+        await town.connect()
+        assert town.notifications == ["up", "down", "up"] and town.node.spec.id == "s-front-1-r1"
 
-    play(tmp_path, act)
+    run_with_node(tmp_path, act)
 
 
 # ---------------------------------------------------------------- the calling side
 
 
-class Shop:
+class ScriptedServer:
     """A server scripted by the test, and a pool that calls it."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.door = listener("127.0.0.1", 0)
-        self.surplus: list[int] = []
-        address, heard = self.door.getsockname(), self.surplus.append
+        self.listener_socket = listener("127.0.0.1", 0)
+        self.unexpected_statuses: list[int] = []
+        address, heard = self.listener_socket.getsockname(), self.unexpected_statuses.append
         self.pool = ConnectionPool(self.loop, monotonic_us, address, lambda _, status, body: heard(status))
         self.ended: asyncio.Queue[Exchange] = asyncio.Queue()
 
-    async def ask(self) -> Exchange:
+    async def send_request(self) -> Exchange:
         exchange = Exchange(b"GET / HTTP/1.1\r\n\r\n", self.ended.put_nowait)
         self.pool.send(exchange)
         return exchange
 
-    async def welcome(self) -> socket.socket:
-        sock, _ = await asyncio.wait_for(self.loop.sock_accept(self.door), SOON)
+    async def accept(self) -> socket.socket:
+        sock, _ = await asyncio.wait_for(self.loop.sock_accept(self.listener_socket), EXPECTED_WITHIN_S)
         return sock
 
     async def serve(self, sock: socket.socket, answer: bytes) -> None:
-        assert await asyncio.wait_for(self.loop.sock_recv(sock, 1000), SOON)
+        assert await asyncio.wait_for(self.loop.sock_recv(sock, 1000), EXPECTED_WITHIN_S)
         await self.loop.sock_sendall(sock, answer)
 
-    async def end(self) -> Exchange:
-        return await asyncio.wait_for(self.ended.get(), SOON)
+    async def next_finished(self) -> Exchange:
+        return await asyncio.wait_for(self.ended.get(), EXPECTED_WITHIN_S)
 
 
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def shop(act: Callable[[Shop], Awaitable[None]]) -> None:
+def run_with_server(act: Callable[[ScriptedServer], Awaitable[None]]) -> None:
     async def main() -> None:
-        await act(Shop())
+        await act(ScriptedServer())
 
     uvloop.run(main())
 
 
 def test_a_request_that_a_closing_crossed_goes_out_once_more() -> None:
-    async def act(shop: Shop) -> None:
-        await shop.ask()
-        first = await shop.welcome()
-        await shop.serve(first, GOOD)
-        await shop.end()
+    async def act(shop: ScriptedServer) -> None:
+        await shop.send_request()
+        first = await shop.accept()
+        await shop.serve(first, OK_RESPONSE)
+        await shop.next_finished()
         first.close()  # the caller's loop has not heard of it when it writes the next
-        await shop.ask()
-        await shop.serve(await shop.welcome(), GOOD)
-        again = await shop.end()
+        await shop.send_request()
+        await shop.serve(await shop.accept(), OK_RESPONSE)
+        again = await shop.next_finished()
         assert again.status == 200 and again.resent
 
-    shop(act)
+    run_with_server(act)
 
 
 def test_a_request_that_was_read_and_dropped_is_broken_off_and_not_sent_again() -> None:
-    async def act(shop: Shop) -> None:
-        await shop.ask()
-        sock = await shop.welcome()
-        await shop.serve(sock, GOOD)
-        await shop.end()
-        await shop.ask()
+    async def act(shop: ScriptedServer) -> None:
+        await shop.send_request()
+        sock = await shop.accept()
+        await shop.serve(sock, OK_RESPONSE)
+        await shop.next_finished()
+        await shop.send_request()
         await shop.serve(sock, b"")
         sock.close()
-        lost = await shop.end()
+        lost = await shop.next_finished()
         assert (lost.status, lost.failure, lost.sent_at > 0) == (0, "closed", True)
-        await nothing(shop.welcome())
+        await assert_times_out(shop.accept())
 
-    shop(act)
+    run_with_server(act)
 
 
 def test_an_answer_that_nobody_asked_for_is_not_taken_for_the_next_ones() -> None:
-    async def act(shop: Shop) -> None:
-        await shop.ask()
-        await shop.serve(await shop.welcome(), GOOD + GOOD)
-        assert (await shop.end()).status == 200
-        await shop.ask()
-        await shop.serve(await shop.welcome(), GOOD.replace(b"200 OK", b"503 Full"))
-        assert (await shop.end()).status == 503 and shop.surplus == [200]
+    async def act(shop: ScriptedServer) -> None:
+        await shop.send_request()
+        await shop.serve(await shop.accept(), OK_RESPONSE + OK_RESPONSE)
+        assert (await shop.next_finished()).status == 200
+        await shop.send_request()
+        await shop.serve(await shop.accept(), OK_RESPONSE.replace(b"200 OK", b"503 Full"))
+        assert (await shop.next_finished()).status == 503 and shop.unexpected_statuses == [200]
 
-    shop(act)
+    run_with_server(act)
 
 
 # ---------------------------------------------------------------- small parts
@@ -326,15 +328,15 @@
 def test_leftovers_are_named_while_they_run_and_never_touched(tmp_path: Path) -> None:
     keeper = ProcessSupervisor(tmp_path)
     child = keeper.start("sleeper", ["/bin/sleep", "600"], cwd=tmp_path, env={})
-    assert leftover_processes(tmp_path) == [f"sleeper ({child.pid})"] and runs(child.pid)
+    assert leftover_processes(tmp_path) == [f"sleeper ({child.pid})"] and is_running(child.pid)
     keeper.close()
-    assert leftover_processes(tmp_path) == [] and not runs(child.pid)
+    assert leftover_processes(tmp_path) == [] and not is_running(child.pid)
 
 
 def test_two_runs_side_by_side_have_different_nets() -> None:
     one, other = Addresses(), Addresses()
     try:
-        assert one.net != other.net
+        assert one.second_octet != other.second_octet
     finally:
         one.close()
         other.close()
--- a/tests/lab/test_peers_of_scenarios.py
+++ b/tests/lab/test_peers_of_scenarios.py
@@ -16,11 +16,11 @@
 from slatelab.scenario import load, parse
 
 FOLDER = Path(__file__).parents[2] / "scenarios"
-SHORT = {"scenario.duration": "12 s", "fault.0.at": "4 s", "fault.0.for": "6 s", "tier.0.proxies": 24}
+SHORTENED = {"scenario.duration": "12 s", "fault.0.at": "4 s", "fault.0.for": "6 s", "tier.0.proxies": 24}
 
 
-def played(name: str, **more: Any) -> Recording:
-    scenario = load(FOLDER / f"{name}.toml", {**SHORT, **more})
+def run_and_judge(name: str, **more: Any) -> Recording:
+    scenario = load(FOLDER / f"{name}.toml", {**SHORTENED, **more})
     recording = run(scenario, 1, FOLDER, None)
     assert judge(scenario, recording.records).violations == []
     return recording
@@ -32,9 +32,9 @@
 
 
 def test_a_fleet_spends_fewer_calls_on_a_bad_node_than_proxies_that_share_nothing() -> None:
-    alone, peers = played("one-ejected"), played("one-ejected", **{"fleet.peers": True})
+    alone, peers = run_and_judge("one-ejected"), run_and_judge("one-ejected", **{"fleet.peers": True})
     assert failures(peers) < 0.75 * failures(alone)
-    again = played("one-ejected", **{"fleet.peers": True})
+    again = run_and_judge("one-ejected", **{"fleet.peers": True})
     assert again.records == peers.records  # the same day each time
 
 
@@ -48,7 +48,7 @@
         "part": 0.9 if kind == "peer-lossy" else 0.0,
     }
     chosen = {} if kind == "peer-lossy" else {"names": ["p-front-1", "p-front-2", "p-front-3"]}
-    day = Simulation(parse({**_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
+    day = Simulation(parse({**_scenario_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
     counts = []
     day.context.clock.call_at(
         10_900_000,
@@ -67,7 +67,7 @@
 
 def test_a_frozen_proxy_wakes_among_the_others_and_no_rule_is_broken() -> None:
     day = Simulation(
-        load(FOLDER / "one-frozen.toml", {**SHORT, "fault.0.for": "5 s", "tier.0.proxies": 6}),
+        load(FOLDER / "one-frozen.toml", {**SHORTENED, "fault.0.for": "5 s", "tier.0.proxies": 6}),
         1,
         FOLDER,
         None,
@@ -86,12 +86,12 @@
     asleep = [
         f
         for f in day.context.records
-        if isinstance(f, r.Came) and f.proxy == _frozen(day) and 4e6 < f.first < 9e6
+        if isinstance(f, r.Came) and f.proxy == _frozen_proxy(day) and 4e6 < f.first < 9e6
     ]
     assert not asleep
 
 
-def _frozen(day: Simulation) -> str:
+def _frozen_proxy(day: Simulation) -> str:
     return next(f.targets[0] for f in day.context.records if isinstance(f, r.FaultBegan))
 
 
@@ -105,11 +105,11 @@
 
 
 def test_attempts_of_the_fleet_are_held_to_their_limit() -> None:
-    scenario = load(FOLDER / "all-half-fail.toml", {**SHORT, "rules.fleet_attempts": 1.01})
+    scenario = load(FOLDER / "all-half-fail.toml", {**SHORTENED, "rules.fleet_attempts": 1.01})
     assert set(judge(scenario, run(scenario, 1, FOLDER, None).records).counts) == {"fleet-attempts"}
 
 
-def _tree(proxies: int) -> dict[str, Any]:
+def _scenario_tree(proxies: int) -> dict[str, Any]:
     return {
         "scenario": {"name": "between", "duration": "20 s"},
         "class": [{"name": "job-status", "effect": "safe", "work": {"mean": "15 ms"}}],
@@ -119,7 +119,7 @@
 
 
 def test_real_proxies_of_a_scenario_find_each_other_through_a_cut(tmp_path: Path) -> None:
-    tree = _tree(3) | {"scenario": {"name": "between", "duration": "6 s"}}
+    tree = _scenario_tree(3) | {"scenario": {"name": "between", "duration": "6 s"}}
     tree["fault"] = [{"kind": "peer-cut", "at": "1 s", "for": "1 s", "tier": "front", "nodes": 1}]
     scenario = parse(tree)
     recording = live(scenario, 1, tmp_path, None, FOLDER.parent, tmp_path)
