--- a/slatelab/live/client_pool.py
+++ b/slatelab/live/client_pool.py
@@ -38,10 +38,10 @@
     connection: ClientConnection | None = None
     pool: ConnectionPool | None = None
 
-    def finish(self, why: str = "") -> None:
+    def finish(self, reason: str = "") -> None:
         if not self.finished:
             self.finished = True
-            self.failure = why
+            self.failure = reason
             self.connection = None
             self.on_finished(self)
 
@@ -124,7 +124,7 @@
         if self.status >= 200:
             self._complete(bool(self.parser.should_keep_alive()))
 
-    def _complete(self, keep: bool) -> None:
+    def _complete(self, keep_alive: bool) -> None:
         exchange, self.exchange = self.exchange, None
         status, body, wait = self.status, bytes(self.body), self.retry_after_us
         self.status, self.has_length, self.retry_after_us, self.body = 0, False, 0, bytearray()
@@ -137,7 +137,7 @@
         self.last_exchange = exchange
         self.used = True
         exchange.status, exchange.body, exchange.retry_after_us = status, body, wait
-        if keep and not self.write_blocked:
+        if keep_alive and not self.write_blocked:
             self.pool.release(self)
         else:
             self.abort()
@@ -161,14 +161,14 @@
         sock = self.transport.get_extra_info("socket")
         return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_STATE_CLOSE)
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         exchange, self.exchange = self.exchange, None
-        unread = self.used and not self.response_started and why == "reset"
+        unread = self.used and not self.response_started and reason == "reset"
         self.abort()
         if exchange is None or exchange.finished:
             return
         if not unread or exchange.resent:
-            return exchange.finish(why)
+            return exchange.finish(reason)
         # Guards against calling lost what the proxy never read, as it closed a connection that rested.
         exchange.resent = True
         exchange.sent_at = 0
@@ -189,12 +189,12 @@
         loop: AbstractEventLoop,
         now: Callable[[], int],
         address: tuple[str, int],
-        surplus: Callable[[Exchange, int, bytes], None],
+        on_unexpected_response: Callable[[Exchange, int, bytes], None],
     ) -> None:
         self.loop = loop
         self.now = now
         self.address = address
-        self.on_unexpected_response = surplus
+        self.on_unexpected_response = on_unexpected_response
         self.idle: list[ClientConnection] = []
         self.connections: set[ClientConnection] = set()
         self.connecting: dict[asyncio.Task[None], Exchange] = {}
@@ -219,7 +219,9 @@
     async def _connect(self, exchange: Exchange) -> None:
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                _, line = await self.loop.create_connection(partial(ClientConnection, self), *self.address)
+                _, connection = await self.loop.create_connection(
+                    partial(ClientConnection, self), *self.address
+                )
         except ConnectionRefusedError:
             return exchange.finish("refused")
         except TimeoutError:
@@ -227,29 +229,29 @@
         except OSError as problem:
             return exchange.finish(f"no connection: {problem.strerror}")
         if exchange.finished:  # given up meanwhile
-            self.release(line)
-        elif line.transport is None or line.transport.is_closing():
+            self.release(connection)
+        elif connection.transport is None or connection.transport.is_closing():
             exchange.finish("reset")
         else:
-            line.send(exchange)
+            connection.send(exchange)
 
-    def release(self, line: ClientConnection) -> None:
-        self.idle.append(line)
+    def release(self, connection: ClientConnection) -> None:
+        self.idle.append(connection)
 
-    def remove(self, line: ClientConnection) -> None:
-        self.connections.discard(line)
-        if line in self.idle:
-            self.idle.remove(line)
+    def remove(self, connection: ClientConnection) -> None:
+        self.connections.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def close(self) -> None:
         """Breaks all connections off; what is on them is not told its end."""
         for task, exchange in list(self.connecting.items()):
             exchange.finished = True
             task.cancel()
-        for line in list(self.connections):
-            if line.exchange:
-                line.exchange.finished = True
-            line.abort()
+        for connection in list(self.connections):
+            if connection.exchange:
+                connection.exchange.finished = True
+            connection.abort()
 
 
 def parse_retry_after_us(value: bytes) -> int:
--- a/slatelab/live/clock.py
+++ b/slatelab/live/clock.py
@@ -59,12 +59,12 @@
 
     def call_at(self, due: int, call: Callable[[], None]) -> ScheduledCall:
         """Calls at `due`, never earlier; what is past is called as soon as the loop is free."""
-        wake = ScheduledCall(due, call)
+        scheduled = ScheduledCall(due, call)
         self._count += 1
-        heapq.heappush(self._heap, (due, self._count, wake))
+        heapq.heappush(self._heap, (due, self._count, scheduled))
         if not self._armed or due < self._armed:
             self._arm(due)
-        return wake
+        return scheduled
 
     def rebase(self, by: int) -> None:
         """Counts from `by` later on; only while no call is to come."""
--- a/slatelab/live/control_channel.py
+++ b/slatelab/live/control_channel.py
@@ -52,9 +52,9 @@
         self.sock = sock
         self._lines = LineDecoder()
 
-    def send(self, do: str, **more: Any) -> None:
+    def send(self, command: str, **fields: Any) -> None:
         """Raises OSError where the process is gone or does not listen."""
-        self.sock.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
+        self.sock.sendall(json.dumps({"do": command, **fields}).encode() + b"\n")
 
     def receive(self) -> list[Message] | None:
         """What has come; None at the end."""
@@ -91,18 +91,18 @@
     @property
     def context(self) -> JobContext: ...
 
-    def part(self, far: HelperChannel) -> Part: ...
+    def part(self, channel: HelperChannel) -> Part: ...
 
 
 class HelperChannel(asyncio.Protocol):
     """The emulating process's end, and what its part stands on. Facts are in `clock` time; a part that counts
     from the day's first moment itself sets `by_day`."""
 
-    def __init__(self, loop: AbstractEventLoop, common: JobContext) -> None:
+    def __init__(self, loop: AbstractEventLoop, context: JobContext) -> None:
         self.loop = loop
-        self.name = common.name
-        self.clock = Clock(loop, common.base)
-        self.facts = FactWriter(common.facts)
+        self.name = context.name
+        self.clock = Clock(loop, context.base)
+        self.facts = FactWriter(context.facts)
         self.uses_day_time = False
         self.part: Part | None = None
         self.max_stall_us = 0  # stall seen
@@ -120,9 +120,9 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._finish(1)  # the lab is gone
 
-    def send(self, say: str, **more: Any) -> None:
+    def send(self, kind: str, **fields: Any) -> None:
         assert self._transport
-        self._transport.write(json.dumps({"say": say, **more}).encode() + b"\n")
+        self._transport.write(json.dumps({"say": kind, **fields}).encode() + b"\n")
 
     def report_invalid(self, text: str) -> None:
         """The run cannot be trusted any more."""
@@ -149,7 +149,7 @@
     def _sample(self, due: int) -> None:
         """Guards against trusting times that a busy machine made late."""
 
-        def look() -> None:
+        def check() -> None:
             now = self.clock.now()
             if now - due > MIN_STALL_US:
                 self.facts.add(Lagged(now, self.name, now - due))
@@ -157,7 +157,7 @@
             self._sample(now + STALL_SAMPLE_US)
 
         if not self.ended.done():
-            self.clock.call_at(due, look)
+            self.clock.call_at(due, check)
 
     def _tick(self) -> None:
         assert self.part and self._transport
@@ -183,16 +183,16 @@
 
 async def _run_job(job: Job, fd: int) -> int:
     loop = asyncio.get_running_loop()
-    far = HelperChannel(loop, job.context)
-    loop.set_exception_handler(far.handle_exception)
+    channel = HelperChannel(loop, job.context)
+    loop.set_exception_handler(channel.handle_exception)
     sock = socket.socket(fileno=fd)
-    await loop.create_connection(lambda: far, sock=sock)
-    far.part = job.part(far)
-    await far.part.open()
+    await loop.create_connection(lambda: channel, sock=sock)
+    channel.part = job.part(channel)
+    await channel.part.open()
     gc.collect()
     gc.freeze()  # what is loaded now stays: looking through it again and again would only cost pauses
-    far.send("ready")
-    return await far.ended
+    channel.send("ready")
+    return await channel.ended
 
 
 def main(fd: int, path: Path) -> None:
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -52,8 +52,8 @@
     unix_us: int  # Unix time where the run's own time begins
     changes: list[FaultEvent]
 
-    def part(self, far: HelperChannel) -> Part:
-        return Discovery(self, far)
+    def part(self, channel: HelperChannel) -> Part:
+        return Discovery(self, channel)
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -61,11 +61,11 @@
 
     def __init__(
         self,
-        asked: Callable[[DiscoveryConnection, str], None],
-        left: Callable[[DiscoveryConnection], None],
-        desk: DiscoveryEndpoint,
+        on_request: Callable[[DiscoveryConnection, str], None],
+        on_disconnect: Callable[[DiscoveryConnection], None],
+        endpoint: DiscoveryEndpoint,
     ) -> None:
-        self.on_request, self.on_disconnect, self.endpoint = asked, left, desk
+        self.on_request, self.on_disconnect, self.endpoint = on_request, on_disconnect, endpoint
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.call_id = 0
@@ -106,8 +106,8 @@
 
 
 class Discovery:
-    def __init__(self, job: DiscoveryJob, far: HelperChannel) -> None:
-        self.job, self.channel = job, far
+    def __init__(self, job: DiscoveryJob, channel: HelperChannel) -> None:
+        self.job, self.channel = job, channel
         self.registry: Registry
         self.specs = {spec.id: spec for spec, _ in job.nodes}
         self.calls: dict[int, DiscoveryConnection] = {}  # by ticket
@@ -120,10 +120,11 @@
         self.registry = Registry(self.job.scenario, now)
         for spec, where in self.job.nodes:
             self.registry.set_node(now, spec.id, "SERVING", spec.tier, where, 0)
-        for desk in self.job.endpoints:
-            sock = listener(desk.host, desk.port)
+        for endpoint in self.job.endpoints:
+            sock = listener(endpoint.host, endpoint.port)
             await self.channel.loop.create_server(
-                partial(DiscoveryConnection, self._handle_request, self._handle_disconnect, desk), sock=sock
+                partial(DiscoveryConnection, self._handle_request, self._handle_disconnect, endpoint),
+                sock=sock,
             )
 
     def handle_message(self, message: Message) -> None:
@@ -144,9 +145,9 @@
     def _apply_fault(self, change: FaultEvent) -> None:
         now = self.channel.clock.now()
         if change.kind == "discovery-down":
-            for ticket in self.registry.set_down(now, change.is_start):
-                if ask := self.calls.pop(ticket, None):
-                    ask.reset()
+            for call_id in self.registry.set_down(now, change.is_start):
+                if connection := self.calls.pop(call_id, None):
+                    connection.reset()
         elif change.kind == "discovery-lies":
             self.registry.set_false_deletions(
                 now, self.specs[change.targets[0]].tier, change.targets if change.is_start else ()
@@ -154,62 +155,67 @@
 
     # ------------------------------------------------------------ calls
 
-    def _handle_request(self, ask: DiscoveryConnection, url: str) -> None:
+    def _handle_request(self, connection: DiscoveryConnection, url: str) -> None:
         parts = urlsplit(url)
         if parts.path != PATH:
-            return ask.answer("404 Not Found", b"")
+            return connection.answer("404 Not Found", b"")
         now, query = self.channel.clock.now(), parse_qs(parts.query)
         since = _number(query, "since")
         wait_ms = min(_number(query, "timeout_ms") or 0, MAX_WAIT_MS)
-        ask.call_id = next(self.call_ids)
-        self.calls[ask.call_id] = ask
-        if ask.endpoint.proxy:  # the lab itself asks aside
-            self.channel.facts.add(Polled(now, ask.endpoint.proxy))
+        connection.call_id = next(self.call_ids)
+        self.calls[connection.call_id] = connection
+        if connection.endpoint.proxy:  # the lab itself asks aside
+            self.channel.facts.add(Polled(now, connection.endpoint.proxy))
         self.registry.receive_call(
-            now, ask.endpoint.proxy, ask.endpoint.tier, since, wait_ms * 1000, ask.call_id
+            now,
+            connection.endpoint.proxy,
+            connection.endpoint.tier,
+            since,
+            wait_ms * 1000,
+            connection.call_id,
         )
         self._advance()
 
-    def _handle_disconnect(self, ask: DiscoveryConnection) -> None:
-        if self.calls.pop(ask.call_id, None):
-            self.registry.cancel_call(ask.call_id)
-        ask.call_id = 0
+    def _handle_disconnect(self, connection: DiscoveryConnection) -> None:
+        if self.calls.pop(connection.call_id, None):
+            self.registry.cancel_call(connection.call_id)
+        connection.call_id = 0
 
     def _advance(self) -> None:
         """Writes what is ready, and sets the time of the next."""
         for answer in self.registry.advance(self.channel.clock.now()):
-            if ask := self.calls.pop(answer.call_id, None):
-                ask.call_id = 0
-                self._write(ask, answer)
+            if connection := self.calls.pop(answer.call_id, None):
+                connection.call_id = 0
+                self._write(connection, answer)
         if self._timer:
             self._timer.cancel()
         due = self.registry.next_event_time()
         self._timer = None if due is None else self.channel.clock.call_at(due, self._advance)
 
-    def _write(self, ask: DiscoveryConnection, answer: RegistryResponse) -> None:
+    def _write(self, connection: DiscoveryConnection, answer: RegistryResponse) -> None:
         if answer.status != 200:
-            return ask.answer(f"{answer.status} Service Unavailable", b"")
+            return connection.answer(f"{answer.status} Service Unavailable", b"")
         members = [
             member_entry(
-                self.specs[shown.node], shown.host_port, shown.phase, self._unix_ms(shown.started_at_us)
+                self.specs[entry.node], entry.host_port, entry.phase, self._unix_ms(entry.started_at_us)
             )
-            for shown in answer.entries
+            for entry in answer.entries
         ]
         tree = {"revision": answer.revision, "complete": answer.complete, "members": members}
-        ask.answer("200 OK", json.dumps(tree).encode())
-        if ask.endpoint.proxy:
-            self._record(ask.endpoint.proxy, answer)
+        connection.answer("200 OK", json.dumps(tree).encode())
+        if connection.endpoint.proxy:
+            self._record(connection.endpoint.proxy, answer)
 
     def _record(self, proxy: str, answer: RegistryResponse) -> None:
         """A node that a whole list leaves out has been told as gone."""
-        now, told = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
-        for shown in answer.entries:
-            self.channel.facts.add(Told(now, proxy, shown.node, shown.phase, shown.started_at_us))
-        here = {shown.node for shown in answer.entries if shown.phase != PHASE_DELETED}
-        for node in sorted(told - here) if answer.complete else ():
+        now, listed = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
+        for entry in answer.entries:
+            self.channel.facts.add(Told(now, proxy, entry.node, entry.phase, entry.started_at_us))
+        here = {entry.node for entry in answer.entries if entry.phase != PHASE_DELETED}
+        for node in sorted(listed - here) if answer.complete else ():
             self.channel.facts.add(Told(now, proxy, node, PHASE_DELETED))
-        gone = {shown.node for shown in answer.entries if shown.phase == PHASE_DELETED}
-        self.last_listed[proxy] = here if answer.complete else (told | here) - gone
+        gone = {entry.node for entry in answer.entries if entry.phase == PHASE_DELETED}
+        self.last_listed[proxy] = here if answer.complete else (listed | here) - gone
 
     def _unix_ms(self, since_us: int) -> int:
         return (self.job.unix_us + since_us) // 1000 if since_us else 0
--- a/slatelab/live/downstream_calls.py
+++ b/slatelab/live/downstream_calls.py
@@ -34,24 +34,24 @@
 
     def __init__(
         self,
-        far: HelperChannel,
+        channel: HelperChannel,
         proxy: tuple[str, int],
         slack: int,
-        returned: Callable[[int, int, bool], None],
+        on_finished: Callable[[int, int, bool], None],
     ) -> None:
-        self._channel, self._slack, self._on_finished = far, slack, returned
-        self._pool = ConnectionPool(far.loop, far.clock.now, proxy, self._unexpected_response)
+        self._channel, self._slack, self._on_finished = channel, slack, on_finished
+        self._pool = ConnectionPool(channel.loop, channel.clock.now, proxy, self._unexpected_response)
         self._pending: dict[Key, PendingCall] = {}
 
     def __len__(self) -> int:
         return len(self._pending)
 
-    def send(self, act: DownstreamCall, asked: Asked, data: bytes) -> None:
+    def send(self, call: DownstreamCall, asked: Asked, data: bytes) -> None:
         """`asked` is what will have been seen once the call has been written."""
-        key = (act.key, act.index)
+        key = (call.key, call.index)
         exchange = Exchange(data, partial(self._ended, key))
-        wake = self._channel.clock.call_at(act.until + self._slack, partial(self._timed_out, key))
-        self._pending[key] = PendingCall(asked, exchange, wake)
+        timer = self._channel.clock.call_at(call.until + self._slack, partial(self._timed_out, key))
+        self._pending[key] = PendingCall(asked, exchange, timer)
         self._pool.send(exchange)
 
     def cancel_all(self) -> None:
@@ -65,10 +65,10 @@
         self._pool.close()
 
     def _ended(self, key: Key, exchange: Exchange) -> None:
-        out, now = self._pending.pop(key), self._channel.clock.now()
-        out.timer.cancel()
-        self._note_asked(out)
-        request = out.asked.request
+        pending, now = self._pending.pop(key), self._channel.clock.now()
+        pending.timer.cancel()
+        self._note_asked(pending)
+        request = pending.asked.request
         if exchange.status:
             wait = exchange.retry_after_us
             self._channel.facts.add(
@@ -83,15 +83,15 @@
         self._on_finished(*key, False)
 
     def _cancel(self, key: Key) -> None:
-        out = self._pending.pop(key)
-        out.timer.cancel()
-        out.exchange.cancel()
-        self._note_asked(out)
-        self._channel.facts.add(GaveUp(self._channel.clock.now(), out.asked.request))
-
-    def _note_asked(self, out: PendingCall) -> None:
-        if out.exchange.sent_at:
-            self._channel.facts.add(replace(out.asked, t=out.exchange.sent_at))
+        pending = self._pending.pop(key)
+        pending.timer.cancel()
+        pending.exchange.cancel()
+        self._note_asked(pending)
+        self._channel.facts.add(GaveUp(self._channel.clock.now(), pending.asked.request))
+
+    def _note_asked(self, pending: PendingCall) -> None:
+        if pending.exchange.sent_at:
+            self._channel.facts.add(replace(pending.asked, t=pending.exchange.sent_at))
 
     def _unexpected_response(self, last: Exchange, status: int, body: bytes) -> None:
         self._channel.facts.add(
--- a/slatelab/live/emulated_node.py
+++ b/slatelab/live/emulated_node.py
@@ -61,20 +61,20 @@
 
     def __init__(
         self,
-        far: HelperChannel,
+        channel: HelperChannel,
         scenario: Scenario,
-        draw: RandomStreams,
-        site: NodeLocation,
+        random_streams: RandomStreams,
+        location: NodeLocation,
         notify: Callable[..., None],
     ) -> None:
         self.channel, self.scenario, self.random_streams, self.location, self.notify = (
-            far,
+            channel,
             scenario,
-            draw,
-            site,
+            random_streams,
+            location,
             notify,
         )
-        self.spec = site.spec
+        self.spec = location.spec
         self.life = 0
         self.simulator: NodeSimulator | None = None
         self.condition: dict[str, Any] = {}
@@ -83,7 +83,10 @@
         self.attempts: dict[int, ActiveAttempt] = {}
         self.unread: list[tuple[ServerConnection, Request]] = []  # probes of a node that is frozen
         self.downstream_calls = DownstreamCalls(
-            far, (site.proxy_host, site.port), scenario.rules.answer_slack, self._downstream_call_finished
+            channel,
+            (location.proxy_host, location.port),
+            scenario.rules.answer_slack,
+            self._downstream_call_finished,
         )
         self._listener: NodeListener | None = None
         self._timer: ScheduledCall | None = None
@@ -94,7 +97,7 @@
 
     # ------------------------------------------------------------ lives
 
-    def start(self, cold: bool, condition: dict[str, Any], cut: bool) -> None:
+    def start(self, cold: bool, condition: dict[str, Any], isolated: bool) -> None:
         """A life begins; what lies on the place already lies on it too."""
         now, spec = self.now(), self.spec
         rng = self.random_streams.stream("node", spec.id, self.life)
@@ -106,18 +109,18 @@
         self._listener = NodeListener(
             self.channel.loop, self.location.host, self.location.port, partial(ServerConnection, self)
         )
-        if cut:
+        if isolated:
             self.isolate()
         self.set_condition(condition)
         self.notify("up", node=spec.id, life=self.life, since=now if cold else 0)
 
-    def restart(self, renewed: bool, condition: dict[str, Any], cut: bool) -> None:
+    def restart(self, renewed: bool, condition: dict[str, Any], isolated: bool) -> None:
         """Starts the node again, or another in its place, cold. Nothing if it is up."""
         if self.simulator is None:
             self.life += 1
             if renewed:
                 self.spec = replacement(self.spec, self.life)
-            self.start(True, condition, cut)
+            self.start(True, condition, isolated)
 
     def crash(self, why: str) -> None:
         """The process dies: connections are reset, new ones refused. Nothing if it is down."""
@@ -140,8 +143,8 @@
         if self._listener:
             self._listener.close()
             self._listener = None
-        for visit in list(self.connections):
-            visit.reset()
+        for connection in list(self.connections):
+            connection.reset()
         self._cancel_timer()
 
     # ------------------------------------------------------------ what befalls it
@@ -151,29 +154,31 @@
         if self._listener and not self.isolated:
             self.isolated = True
             self._listener.isolate()
-            for visit in self.connections:
-                visit.stop_reading()
+            for connection in self.connections:
+                connection.stop_reading()
 
     def end_isolation(self) -> None:
         """The machine is back: its old connections are reset."""
         if self._listener and self.isolated:
             self.isolated = False
-            for visit in list(self.connections):
-                visit.reset()
+            for connection in list(self.connections):
+                connection.reset()
             self._listener.end_isolation()
 
     def reset_some(self, share: float, name: str) -> None:
         """Each open connection is reset with this chance; from a machine that is cut off nobody hears it."""
         rng = self.random_streams.stream("reset", self.location.spec.id, name)
-        for visit in [visit for visit in self.connections if rng.random() < share and not self.isolated]:
-            visit.reset()
+        for connection in [
+            connection for connection in self.connections if rng.random() < share and not self.isolated
+        ]:
+            connection.reset()
 
     def close_idle(self) -> None:
         """What has stood idle for proxy.idle_close is closed."""
         oldest = self.now() - self.scenario.proxy.idle_close
-        for visit in [visit for visit in self.connections if not self.isolated]:
-            if not visit.key and visit.idle_since < oldest:
-                visit.close()
+        for connection in [connection for connection in self.connections if not self.isolated]:
+            if not connection.key and connection.idle_since < oldest:
+                connection.close()
 
     def set_condition(self, condition: dict[str, Any]) -> None:
         """What lies on the node now, all of it: see NodeSimulator.set_conditions."""
@@ -182,8 +187,8 @@
             self._apply_outputs(self.simulator.set_conditions(self.now(), **condition))
         if not condition.get("frozen"):
             unread, self.unread = self.unread, []
-            for visit, request in unread:
-                self._probe(visit, request)
+            for connection, request in unread:
+                self._probe(connection, request)
 
     def drain(self) -> None:
         if self.simulator:
@@ -194,47 +199,47 @@
     @property
     def state(self) -> str:
         """For the live table."""
-        lies = self.condition
-        words = (
+        condition = self.condition
+        states = (
             ("down", self.simulator is None),
             ("black hole", self.isolated),
-            ("frozen", lies.get("frozen")),
+            ("frozen", condition.get("frozen")),
             ("draining", self.draining),
-            ("errors", lies.get("errors")),
-            ("slow", lies.get("slow", 1) != 1),
+            ("errors", condition.get("errors")),
+            ("slow", condition.get("slow", 1) != 1),
             ("cold", self.simulator and self.simulator.available_capacity(self.now()) < 1),
         )
-        return next((word for word, holds in words if holds), "warm")
+        return next((word for word, applies in states if applies), "warm")
 
     # ------------------------------------------------------------ visits
 
-    def connection_opened(self, visit: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         if self.simulator is None or not self.simulator.connect(self.now(), ""):
-            visit.closed = True
-            return visit.reset()
-        self.connections[visit] = None
+            connection.closed = True
+            return connection.reset()
+        self.connections[connection] = None
         if self.isolated:  # it was on its way in
-            visit.stop_reading()
+            connection.stop_reading()
         self._schedule_advance()
 
-    def connection_closed(self, visit: ServerConnection) -> None:
-        self.connections.pop(visit, None)
+    def connection_closed(self, connection: ServerConnection) -> None:
+        self.connections.pop(connection, None)
         if self.simulator is None:
             return
         self.simulator.disconnect(self.now(), "")
-        if task := self.attempts.get(visit.key):
-            task.connection = None
+        if attempt := self.attempts.get(connection.key):
+            attempt.connection = None
             # What has begun goes on to its reply; what waits does so only where nobody drops it.
-            if self.spec.kind.drops_cancelled and not task.started:
-                del self.attempts[visit.key]
-            self._apply_outputs(self.simulator.cancel(self.now(), visit.key))
+            if self.spec.kind.drops_cancelled and not attempt.started:
+                del self.attempts[connection.key]
+            self._apply_outputs(self.simulator.cancel(self.now(), connection.key))
 
-    def request_received(self, visit: ServerConnection, request: Request) -> None:
+    def request_received(self, connection: ServerConnection, request: Request) -> None:
         if not request.request:
-            return self._probe(visit, request)
+            return self._probe(connection, request)
         call = self._parse_request(request)
         if call is None:
-            return visit.answer(400, "", b"no request of this day\n")
+            return connection.answer(400, "", b"no request of this day\n")
         now = self.now()
         if self.simulator:
             self._apply_outputs(
@@ -242,39 +247,39 @@
             )  # its own doings first, so that a reply is not late for this
         if self.simulator is None:
             return
-        visit.key = call.key
-        self.attempts[call.key] = ActiveAttempt(call, request.tenant, visit)
-        acts = self.simulator.arrive(now, call)
+        connection.key = call.key
+        self.attempts[call.key] = ActiveAttempt(call, request.tenant, connection)
+        outputs = self.simulator.arrive(now, call)
         work, spec = self.simulator.last_work, self.spec
         self.channel.facts.add(
             Came(now, spec.id, self.life, call.request, call.proxy, work, request.first_byte_at)
         )
-        self._apply_outputs(acts)
+        self._apply_outputs(outputs)
 
     def _parse_request(self, request: Request) -> NodeRequest | None:
         """None for one that no caller of this day sends."""
-        figures, cls = request.attrs, self._classes.get(request.cls)
+        attrs, cls = request.attrs, self._classes.get(request.cls)
         if cls is None:
             return None
         until = self.now() + (request.timeout_us or self.scenario.classes[cls].deadline)
         try:
-            seed, work = int(figures["seed"]), int(figures["work"])
-            proxy, path = figures["proxy"], figures["path"]
+            seed, work = int(attrs["seed"]), int(attrs["work"])
+            proxy, path = attrs["proxy"], attrs["path"]
         except (KeyError, ValueError):
             return None
         return NodeRequest(next(self.keys), request.request, proxy, cls, seed, work, path, until)
 
-    def _probe(self, visit: ServerConnection, request: Request) -> None:
+    def _probe(self, connection: ServerConnection, request: Request) -> None:
         if self.condition.get("frozen"):
-            self.unread.append((visit, request))
-        elif visit.closed or self.simulator is None:
+            self.unread.append((connection, request))
+        elif connection.closed or self.simulator is None:
             return
         elif not self.scenario.proxy.probes or request.target not in ("/health", "/status/load"):
-            visit.answer(404, "", b"")
+            connection.answer(404, "", b"")
         else:
             report = self._load_report()
             body = report.encode() if request.target == "/status/load" else b"ok"
-            visit.answer(503 if self.draining else 200, f"X-Server-Load: {report}\r\n", body)
+            connection.answer(503 if self.draining else 200, f"X-Server-Load: {report}\r\n", body)
 
     def _load_report(self) -> str:
         assert self.simulator
@@ -284,15 +289,15 @@
 
     # ------------------------------------------------------------ what the node does
 
-    def _apply_outputs(self, acts: list[NodeOutput]) -> None:
-        for act in acts:
-            if isinstance(act, Reply):
-                self._reply(act)
-            elif isinstance(act, WorkStarted):
-                self._work_started(act)
-            elif isinstance(act, DownstreamCall):
-                self._send_downstream_call(act)
-            elif isinstance(act, NodeCrashed):
+    def _apply_outputs(self, outputs: list[NodeOutput]) -> None:
+        for output in outputs:
+            if isinstance(output, Reply):
+                self._reply(output)
+            elif isinstance(output, WorkStarted):
+                self._work_started(output)
+            elif isinstance(output, DownstreamCall):
+                self._send_downstream_call(output)
+            elif isinstance(output, NodeCrashed):
                 return self.crash("fell")
         self._schedule_advance()
 
@@ -314,38 +319,44 @@
         if self.simulator:
             self._apply_outputs(self.simulator.advance(self.now()))
 
-    def _work_started(self, act: WorkStarted) -> None:
-        if task := self.attempts.get(act.key):
-            task.started = True
-            self.channel.facts.add(Began(self.now(), self.spec.id, self.life, task.call.request))
+    def _work_started(self, output: WorkStarted) -> None:
+        if attempt := self.attempts.get(output.key):
+            attempt.started = True
+            self.channel.facts.add(Began(self.now(), self.spec.id, self.life, attempt.call.request))
 
-    def _reply(self, act: Reply) -> None:
-        task = self.attempts.pop(act.key, None)
-        if task is None or task.connection is None:
+    def _reply(self, output: Reply) -> None:
+        attempt = self.attempts.pop(output.key, None)
+        if attempt is None or attempt.connection is None:
             return
-        visit, call, spec = task.connection, task.call, self.spec
-        visit.key = 0
+        connection, call, spec = attempt.connection, attempt.call, self.spec
+        connection.key = 0
         if self.isolated:
             return  # written to nobody; the connection is reset once the machine is back
-        extra = f"X-Server-Load: {self._load_report()}\r\n" + ("X-Not-Processed: 1\r\n" if act.turned else "")
+        extra = f"X-Server-Load: {self._load_report()}\r\n" + (
+            "X-Not-Processed: 1\r\n" if output.turned else ""
+        )
         now = self.now()  # a stamp taken after the write may be later than the caller's
-        visit.answer(act.status, extra, act.token.encode())
+        connection.answer(output.status, extra, output.token.encode())
         self.channel.facts.add(
-            Replied(now, spec.id, self.life, call.request, call.proxy, act.status, act.turned, act.token)
+            Replied(
+                now, spec.id, self.life, call.request, call.proxy, output.status, output.turned, output.token
+            )
         )
 
-    def _send_downstream_call(self, act: DownstreamCall) -> None:
-        task, now = self.attempts.get(act.key), self.now()
-        if task is None:
+    def _send_downstream_call(self, output: DownstreamCall) -> None:
+        attempt, now = self.attempts.get(output.key), self.now()
+        if attempt is None:
             return
-        call, proxy = task.call, self.location.proxy
+        call, proxy = attempt.call, self.location.proxy
         cls = self.scenario.classes[call.cls]
-        figures = {"seed": call.order_seed, "work": call.order_work_us, "path": act.path, "proxy": proxy}
-        left, alike = max(1, act.until - now), self.scenario.clients.alike
-        data = request_bytes(cls, act.request, task.tenant, left, figures, alike=alike)
+        attrs = {"seed": call.order_seed, "work": call.order_work_us, "path": output.path, "proxy": proxy}
+        remaining_us, alike = max(1, output.until - now), self.scenario.clients.alike
+        data = request_bytes(cls, output.request, attempt.tenant, remaining_us, attrs, alike=alike)
         tier = self.spec.tier + 1
-        asked = Asked(now, act.request, 0, self.spec.id, proxy, tier, cls.name, task.tenant, now, act.until)
-        self.downstream_calls.send(act, asked, data)
+        asked = Asked(
+            now, output.request, 0, self.spec.id, proxy, tier, cls.name, attempt.tenant, now, output.until
+        )
+        self.downstream_calls.send(output, asked, data)
 
     def _downstream_call_finished(self, key: int, index: int, ok: bool) -> None:
         if self.simulator:
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -37,9 +37,9 @@
         self.final_message: Message | None = None
         self.last_tick: Message = {}
 
-    def send(self, do: str, **more: Any) -> None:
+    def send(self, command: str, **fields: Any) -> None:
         with suppress(OSError):  # its end is told by its process descriptor
-            self.channel.send(do, **more)
+            self.channel.send(command, **fields)
 
 
 class Emulation:
@@ -48,11 +48,16 @@
     def __init__(
         self,
         scratch: Path,
-        keeper: ProcessSupervisor,
-        said: Callable[[Helper, str, Message], None],
-        fail: Callable[[Exception], None],
+        supervisor: ProcessSupervisor,
+        on_message: Callable[[Helper, str, Message], None],
+        on_failure: Callable[[Exception], None],
     ) -> None:
-        self.scratch, self.supervisor, self.on_message, self.on_failure = scratch, keeper, said, fail
+        self.scratch, self.supervisor, self.on_message, self.on_failure = (
+            scratch,
+            supervisor,
+            on_message,
+            on_failure,
+        )
         self.loop = asyncio.get_running_loop()
         self.helpers: list[Helper] = []
 
@@ -61,18 +66,18 @@
     ) -> None:
         """`base`: where the run's own time begins, of CLOCK_MONOTONIC; `unix_us`: the same as Unix time."""
         scenario, changes = plan.scenario, plan.changes
-        stand = [(site.spec, f"{site.host}:{site.port}") for site in plan.locations]
-        desks = [*plan.discovery_endpoints.values(), *plan.lab_endpoints]
-        doors = [plan.proxy_addresses[proxy.name] for proxy in plan.proxies if not proxy.tier]
+        nodes_at_start = [(site.spec, f"{site.host}:{site.port}") for site in plan.locations]
+        endpoints = [*plan.discovery_endpoints.values(), *plan.lab_endpoints]
+        proxy_addresses = [plan.proxy_addresses[proxy.name] for proxy in plan.proxies if not proxy.tier]
         common = partial(self._common, base)
         self.discovery = self._start(
-            DiscoveryJob(common("discovery"), scenario, desks, stand, unix_us, changes)
+            DiscoveryJob(common("discovery"), scenario, endpoints, nodes_at_start, unix_us, changes)
         )
         self.nodes = [
             self._start(NodesJob(common(f"nodes-{i}"), scenario, seed, sites, changes))
             for i, sites in enumerate(plan.locations_by_process())
         ]
-        self.load = self._start(LoadJob(common("load"), scenario, seed, folder, doors, stall))
+        self.load = self._start(LoadJob(common("load"), scenario, seed, folder, proxy_addresses, stall))
 
     def _common(self, base: int, name: str) -> JobContext:
         return JobContext(name, base, self.scratch / f"{name}.jsonl")
@@ -80,26 +85,26 @@
     def _start(self, job: Job) -> Helper:
         name, path = job.context.name, self.scratch / f"{job.context.name}.job"
         path.write_bytes(pickle.dumps(job))
-        ours, theirs = socket_pair()
-        command = [sys.executable, "-m", "slatelab.live.helper", str(theirs.fileno()), str(path)]
+        lab_end, process_end = socket_pair()
+        command = [sys.executable, "-m", "slatelab.live.helper", str(process_end.fileno()), str(path)]
         env = {**os.environ, "PYTHONPATH": str(ROOT)}  # slatelab as the lab itself has it
-        with theirs, (self.scratch / f"{name}.log").open("wb") as log:
+        with process_end, (self.scratch / f"{name}.log").open("wb") as log:
             child = self.supervisor.start(
-                name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(theirs.fileno(),)
+                name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(process_end.fileno(),)
             )
-        helper = Helper(name, LabChannel(ours), child, job.context.facts)
+        helper = Helper(name, LabChannel(lab_end), child, job.context.facts)
         self.helpers.append(helper)
-        self.loop.add_reader(ours, self._guarded, self._receive, helper)
+        self.loop.add_reader(lab_end, self._guarded, self._receive, helper)
         self.loop.add_reader(child.pidfd, self._guarded, self._process_exited, helper)
         return helper
 
-    def send_to_all(self, do: str, **more: Any) -> None:
+    def send_to_all(self, command: str, **fields: Any) -> None:
         for helper in self.helpers:
-            helper.send(do, **more)
+            helper.send(command, **fields)
 
-    def send_to_nodes(self, do: str, **more: Any) -> None:
+    def send_to_nodes(self, command: str, **fields: Any) -> None:
         for helper in self.nodes:
-            helper.send(do, **more)
+            helper.send(command, **fields)
 
     async def ready(self) -> None:
         await asyncio.gather(*(helper.ready.wait() for helper in self.helpers))
@@ -138,18 +143,18 @@
             self._handle_message(helper, message)
 
     def _handle_message(self, helper: Helper, message: Message) -> None:
-        say = message.pop("say")
-        if say == "ready":
+        kind = message.pop("say")
+        if kind == "ready":
             helper.ready.set()
-        elif say == "done":
+        elif kind == "done":
             helper.final_message = message
             helper.handed_over.set()
-        elif say == "invalid":
+        elif kind == "invalid":
             self.on_failure(InvalidRunError(message["text"]))
         else:
-            if say == "tick":
+            if kind == "tick":
                 helper.last_tick = message
-            self.on_message(helper, say, message)
+            self.on_message(helper, kind, message)
 
     def _process_exited(self, helper: Helper) -> None:
         self.loop.remove_reader(helper.child.pidfd)
@@ -160,7 +165,7 @@
         code = self.supervisor.reap(helper.child)
         if helper.final_message is None:
             lines = (self.scratch / f"{helper.name}.log").read_text(errors="replace").splitlines()
-            said = f": {lines[-1]}" if lines else ""
+            last_line = f": {lines[-1]}" if lines else ""
             raise InvalidRunError(
-                f"{helper.name}, a process of the lab, ended by itself with code {code}{said}"
+                f"{helper.name}, a process of the lab, ended by itself with code {code}{last_line}"
             )
--- a/slatelab/live/facts.py
+++ b/slatelab/live/facts.py
@@ -43,27 +43,28 @@
         if len(self._held) >= BATCH_FACTS and self._day_start is not None:
             self.flush()
 
-    def begin(self, shift: int) -> None:
+    def begin(self, day_start: int) -> None:
         """The day begins at `shift` of the facts' own time. What was before it counts as its first moment."""
-        self._day_start = shift
+        self._day_start = day_start
 
     def flush(self) -> None:
-        held, self._held = self._held, []
+        buffered, self._held = self._held, []
         if self._day_start:
-            held = [_shifted(fact, self._day_start) for fact in held]
-        self._file.write(self._encoder.encode_lines(held))
+            buffered = [_shifted(fact, self._day_start) for fact in buffered]
+        self._file.write(self._encoder.encode_lines(buffered))
 
     def close(self) -> None:
         self.flush()
         self._file.close()
 
 
-def _shifted(fact: Fact, by: int) -> Fact:
+def _shifted(fact: Fact, offset: int) -> Fact:
     times = {
-        key: _shifted_time(getattr(fact, key), by) for key in ("t", *OTHER_TIME_FIELDS.get(type(fact), ()))
+        key: _shifted_time(getattr(fact, key), offset)
+        for key in ("t", *OTHER_TIME_FIELDS.get(type(fact), ()))
     }
     return replace(fact, **times)
 
 
-def _shifted_time(t: int, by: int) -> int:
-    return max(0, t - by)
+def _shifted_time(t: int, offset: int) -> int:
+    return max(0, t - offset)
--- a/slatelab/live/front.py
+++ b/slatelab/live/front.py
@@ -49,62 +49,63 @@
         self,
         loop: AbstractEventLoop,
         now: Callable[[], int],
-        doors: list[ProxyAddress],
-        most: int,
-        surplus: Callable[[Exchange, int, bytes], None],
+        addresses: list[ProxyAddress],
+        max_connections: int,
+        on_unexpected_response: Callable[[Exchange, int, bytes], None],
         skew: int = 1,
     ) -> None:
         self.pools = {
-            door.proxy: ConnectionPool(loop, now, (door.host, door.port), surplus) for door in doors
+            address.proxy: ConnectionPool(loop, now, (address.host, address.port), on_unexpected_response)
+            for address in addresses
         }
         self.in_use = dict.fromkeys(self.pools, True)
-        self.names = [doors[place].proxy for place in weighted_round_robin(len(doors), skew)]
-        self.max_connections = most
+        self.names = [addresses[index].proxy for index in weighted_round_robin(len(addresses), skew)]
+        self.max_connections = max_connections
         self.waiting: deque[FrontRequest] = deque()
         self._next_index = 0
 
-    def set_in_use(self, proxy: str, used: bool) -> None:
-        self.in_use[proxy] = used
+    def set_in_use(self, proxy: str, in_use: bool) -> None:
+        self.in_use[proxy] = in_use
 
-    def send(self, passage: FrontRequest) -> None:
+    def send(self, request: FrontRequest) -> None:
         """To the next proxy in turn, over an idle connection or a new one."""
-        proxy = self._choose(passage)
+        proxy = self._choose(request)
         if proxy is None:
-            passage.finished = True
-            return passage.on_finished(None)
+            request.finished = True
+            return request.on_finished(None)
         pool = self.pools[proxy]
         if not pool.idle and sum(p.count for p in self.pools.values()) >= self.max_connections:
             proxy = next((name for name, p in self.pools.items() if p.idle), None)
             if proxy is None:
-                return self.waiting.append(passage)
+                return self.waiting.append(request)
             pool = self.pools[proxy]
-        passage.proxy = proxy
-        passage.exchange = Exchange(passage.write(proxy), lambda exchange: self._ended(passage, exchange))
-        pool.send(passage.exchange)
+        request.proxy = proxy
+        request.exchange = Exchange(request.write(proxy), lambda exchange: self._ended(request, exchange))
+        pool.send(request.exchange)
 
-    def _choose(self, passage: FrontRequest) -> str | None:
+    def _choose(self, request: FrontRequest) -> str | None:
         for i in range(len(self.names)):
             name = self.names[(self._next_index + i) % len(self.names)]
-            if name not in passage.refused and (self.in_use[name] or self.pools[name].idle):
+            if name not in request.refused and (self.in_use[name] or self.pools[name].idle):
                 self._next_index += i + 1
                 return name
         return None
 
-    def _ended(self, passage: FrontRequest, exchange: Exchange) -> None:
+    def _ended(self, request: FrontRequest, exchange: Exchange) -> None:
         if not exchange.status and not exchange.sent_at:
             # Nobody has heard it: the front tries the others at once, a dead proxy costs no more than that.
-            passage.refused.append(passage.proxy)
-            return self.send(passage)
-        passage.finished = True
-        passage.on_finished(exchange)
+            request.refused.append(request.proxy)
+            return self.send(request)
+        request.finished = True
+        request.on_finished(exchange)
         self._send_next()
 
     def _send_next(self) -> None:
         """A connection is free: the one that has waited longest goes on."""
         while self.waiting:
-            passage = self.waiting.popleft()
-            if not passage.finished:
-                return self.send(passage)
+            request = self.waiting.popleft()
+            if not request.finished:
+                return self.send(request)
 
     def connection_freed(self) -> None:
         """A try was given up, and its connection with it."""
--- a/slatelab/live/load.py
+++ b/slatelab/live/load.py
@@ -39,8 +39,8 @@
     proxy_addresses: list[ProxyAddress]
     stall: tuple[int, int] | None = None
 
-    def part(self, far: HelperChannel) -> Part:
-        return LoadGenerator(self, far)
+    def part(self, channel: HelperChannel) -> Part:
+        return LoadGenerator(self, channel)
 
 
 @dataclass(eq=False, slots=True)
@@ -58,14 +58,14 @@
 
 
 class LoadGenerator:
-    def __init__(self, job: LoadJob, far: HelperChannel) -> None:
-        self.job, self.channel, self.scenario = job, far, job.scenario
-        far.uses_day_time = True
+    def __init__(self, job: LoadJob, channel: HelperChannel) -> None:
+        self.job, self.channel, self.scenario = job, channel, job.scenario
+        channel.uses_day_time = True
         self.random_streams = RandomStreams(job.seed)
         self.orders: list[Order] = []
         self.schedule_lag = ScheduleLag()
         self.front = Front(
-            far.loop, far.clock.now, job.proxy_addresses, job.scenario.clients.connections, self._unexpected_response,
+            channel.loop, channel.clock.now, job.proxy_addresses, job.scenario.clients.connections, self._unexpected_response,
             job.scenario.tiers[0].skew,
         )  # fmt: skip
         self.orders_sent = 0  # orders sent so far
@@ -105,81 +105,91 @@
 
     def _send(self, order: Order, attempt: int, intended: int) -> None:
         self.schedule_lag.record(intended, self.channel.clock.now() - intended)
-        one = ClientAttempt(
+        client_attempt = ClientAttempt(
             order, attempt, intended, client.attempt_timeout_at(self.scenario, order, intended)
         )
         # A little longer than it says: an answer that is on its way must not be taken for none.
-        patience = one.until + self.scenario.rules.answer_slack
-        one.timer = self.channel.clock.call_at(patience, partial(self._give_up, one))
-        one.front_request = FrontRequest(partial(self._write, one), partial(self._ended, one))
-        self.front.send(one.front_request)
-
-    def _write(self, one: ClientAttempt, proxy: str) -> bytes:
-        order = one.order
-        figures = {
+        give_up_at = client_attempt.until + self.scenario.rules.answer_slack
+        client_attempt.timer = self.channel.clock.call_at(give_up_at, partial(self._give_up, client_attempt))
+        client_attempt.front_request = FrontRequest(
+            partial(self._write, client_attempt), partial(self._ended, client_attempt)
+        )
+        self.front.send(client_attempt.front_request)
+
+    def _write(self, client_attempt: ClientAttempt, proxy: str) -> bytes:
+        order = client_attempt.order
+        attrs = {
             "order": order.number,
             "seed": order.seed,
             "work": order.work_us,
             "path": "",
             "proxy": proxy,
         }
-        left = max(1, one.until - self.channel.clock.now())
-        retried = one.attempt > 0 and self.scenario.clients.marks_retry
+        remaining_us = max(1, client_attempt.until - self.channel.clock.now())
+        retried = client_attempt.attempt > 0 and self.scenario.clients.marks_retry
         cls, alike = self.scenario.classes[order.cls], self.scenario.clients.alike
-        return request_bytes(cls, one.request, self._tenant(order), left, figures, retried, alike)
+        return request_bytes(
+            cls, client_attempt.request, self._tenant(order), remaining_us, attrs, retried, alike
+        )
 
     def _tenant(self, order: Order) -> str:
         return self.scenario.tenants[order.tenant].name if self.scenario.tenants else ""
 
     # ------------------------------------------------------------ ends
 
-    def _ended(self, one: ClientAttempt, exchange: Exchange | None) -> None:
-        now, request = self.channel.clock.now(), one.request
-        assert one.timer and one.front_request
-        one.timer.cancel()
-        self._note_asked(one, exchange)
+    def _ended(self, client_attempt: ClientAttempt, exchange: Exchange | None) -> None:
+        now, request = self.channel.clock.now(), client_attempt.request
+        assert client_attempt.timer and client_attempt.front_request
+        client_attempt.timer.cancel()
+        self._note_asked(client_attempt, exchange)
         if exchange is None or not exchange.status:
             sent = exchange is not None and exchange.sent_at > 0
             self.channel.facts.add(
                 BrokenOff(now, request, sent, exchange.failure if exchange else "no proxy takes it")
             )
-            return self._after_attempt(one, "gone" if sent else "unheard", 0)
+            return self._after_attempt(client_attempt, "gone" if sent else "unheard", 0)
         token = token_from_body(exchange.body)
         self.channel.facts.add(Answered(now, request, exchange.status, token, exchange.retry_after_us))
-        end: AttemptOutcome = (
+        outcome: AttemptOutcome = (
             "served" if exchange.status == 200 else "refused" if exchange.status in (429, 503) else "failed"
         )
-        self._after_attempt(one, end, exchange.retry_after_us)
-
-    def _give_up(self, one: ClientAttempt) -> None:
-        assert one.front_request
-        one.front_request.cancel()
-        self._note_asked(one, one.front_request.exchange)
-        self.channel.facts.add(GaveUp(self.channel.clock.now(), one.request))
-        self._after_attempt(one, "gave-up", 0)
+        self._after_attempt(client_attempt, outcome, exchange.retry_after_us)
+
+    def _give_up(self, client_attempt: ClientAttempt) -> None:
+        assert client_attempt.front_request
+        client_attempt.front_request.cancel()
+        self._note_asked(client_attempt, client_attempt.front_request.exchange)
+        self.channel.facts.add(GaveUp(self.channel.clock.now(), client_attempt.request))
+        self._after_attempt(client_attempt, "gave-up", 0)
         self.front.connection_freed()
 
-    def _note_asked(self, one: ClientAttempt, exchange: Exchange | None) -> None:
-        if exchange is None or not exchange.sent_at or one.front_request is None:
+    def _note_asked(self, client_attempt: ClientAttempt, exchange: Exchange | None) -> None:
+        if exchange is None or not exchange.sent_at or client_attempt.front_request is None:
             return
-        order, cls = one.order, self.scenario.classes[one.order.cls].name
+        order, cls = client_attempt.order, self.scenario.classes[client_attempt.order.cls].name
         asked = Asked(
-            exchange.sent_at, one.request, one.attempt, f"c{order.number}", one.front_request.proxy, 0, cls,
-            self._tenant(order), one.intended, one.until,
+            exchange.sent_at, client_attempt.request, client_attempt.attempt, f"c{order.number}", client_attempt.front_request.proxy, 0, cls,
+            self._tenant(order), client_attempt.intended, client_attempt.until,
         )  # fmt: skip
         self.channel.facts.add(asked)
 
-    def _after_attempt(self, one: ClientAttempt, end: AttemptOutcome, retry_after_us: int) -> None:
-        order, now = one.order, self.channel.clock.now()
-        if end != "served":
-            rng = self.random_streams.stream("client", order.number, one.attempt)
-            again = client.next_retry(self.scenario, order, one.attempt, now, end, retry_after_us, rng)
+    def _after_attempt(
+        self, client_attempt: ClientAttempt, outcome: AttemptOutcome, retry_after_us: int
+    ) -> None:
+        order, now = client_attempt.order, self.channel.clock.now()
+        if outcome != "served":
+            rng = self.random_streams.stream("client", order.number, client_attempt.attempt)
+            again = client.next_retry(
+                self.scenario, order, client_attempt.attempt, now, outcome, retry_after_us, rng
+            )
             if again:
-                self.channel.clock.call_at(again.at, partial(self._send, order, one.attempt + 1, again.at))
+                self.channel.clock.call_at(
+                    again.at, partial(self._send, order, client_attempt.attempt + 1, again.at)
+                )
                 return
         self.pending_attempts -= 1
-        self.counts[end if end in self.counts else "failed"] += 1
-        if end == "served" and len(self.latencies) < MAX_LATENCIES_PER_TICK:
+        self.counts[outcome if outcome in self.counts else "failed"] += 1
+        if outcome == "served" and len(self.latencies) < MAX_LATENCIES_PER_TICK:
             self.latencies.append(now - order.at)
         self._report_if_done()
 
--- a/slatelab/live/logs.py
+++ b/slatelab/live/logs.py
@@ -29,8 +29,8 @@
             fields.pop(key, None)
         level, topic = fields.pop("level", ""), fields.pop("topic", "")
         return LogLine(level.lower(), topic, fields.pop("msg", ""), fields)
-    if found := PLAIN.fullmatch(line):
-        return LogLine("error" if found[1] == "fault" else "info", found[1], found[2], {})
+    if match := PLAIN.fullmatch(line):
+        return LogLine("error" if match[1] == "fault" else "info", match[1], match[2], {})
     return LogLine("", "", line, {})
 
 
@@ -38,10 +38,12 @@
     if not line.startswith("{"):
         return None
     try:
-        tree = json.loads(line)
+        parsed = json.loads(line)
     except (ValueError, RecursionError):
         return None
-    return {str(key): _field_text(value) for key, value in tree.items()} if isinstance(tree, dict) else None
+    return (
+        {str(key): _field_text(value) for key, value in parsed.items()} if isinstance(parsed, dict) else None
+    )
 
 
 def _field_text(value: Any) -> str:
@@ -52,15 +54,15 @@
     """Whole lines of key=value only, among them `msg` or `level`: a sentence with a "=" in it is none."""
     fields, at = {}, 0
     while at < len(line):
-        found = PAIR.match(line, at)
-        if not found:
+        match = PAIR.match(line, at)
+        if not match:
             return None
-        fields[found[1]] = _unquoted(found[2])
-        at = found.end()
+        fields[match[1]] = _unquoted(match[2])
+        at = match.end()
     return fields if "msg" in fields or "level" in fields else None
 
 
 def _unquoted(value: str) -> str:
     if not value.startswith('"'):
         return value
-    return re.sub(r"\\(.)", lambda found: "\n" if found[1] == "n" else found[1], value[1:-1])
+    return re.sub(r"\\(.)", lambda match: "\n" if match[1] == "n" else match[1], value[1:-1])
--- a/slatelab/live/node_listener.py
+++ b/slatelab/live/node_listener.py
@@ -20,9 +20,9 @@
     listen."""
 
     def __init__(
-        self, loop: AbstractEventLoop, host: str, port: int, visit: Callable[[], ServerConnection]
+        self, loop: AbstractEventLoop, host: str, port: int, make_connection: Callable[[], ServerConnection]
     ) -> None:
-        self._loop, self._address, self._make_connection = loop, (host, port), visit
+        self._loop, self._address, self._make_connection = loop, (host, port), make_connection
         self._fillers: list[socket.socket] = []
         self._socket = listener(host, port, BACKLOG)
         self._loop.add_reader(self._socket, self._accept)
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -26,23 +26,25 @@
     locations: list[NodeLocation]
     changes: list[FaultEvent]  # of the whole day; the lab says by number when one is due
 
-    def part(self, far: HelperChannel) -> Part:
-        return NodeHost(self, far)
+    def part(self, channel: HelperChannel) -> Part:
+        return NodeHost(self, channel)
 
 
 class NodeHost:
-    def __init__(self, job: NodesJob, far: HelperChannel) -> None:
-        self.job, self.channel = job, far
+    def __init__(self, job: NodesJob, channel: HelperChannel) -> None:
+        self.job, self.channel = job, channel
         self.active_faults = ActiveFaults(job.scenario)
-        draw = RandomStreams(job.seed)
+        random_streams = RandomStreams(job.seed)
         self.emulated_nodes = {
-            site.spec.id: EmulatedNode(far, job.scenario, draw, site, partial(self._notify, site.spec.id))
-            for site in job.locations
+            location.spec.id: EmulatedNode(
+                channel, job.scenario, random_streams, location, partial(self._notify, location.spec.id)
+            )
+            for location in job.locations
         }
 
     async def open(self) -> None:
-        for name, place in self.emulated_nodes.items():
-            place.start(False, self.active_faults.conditions_for(name), False)
+        for name, node in self.emulated_nodes.items():
+            node.start(False, self.active_faults.conditions_for(name), False)
         self._close_idle()
 
     def handle_message(self, message: Message) -> None:
@@ -58,19 +60,19 @@
 
     def _apply_fault(self, change: FaultEvent) -> None:
         for name, condition in self.active_faults.apply(change):
-            if place := self.emulated_nodes.get(name):
-                place.set_condition(condition)
+            if node := self.emulated_nodes.get(name):
+                node.set_condition(condition)
         for name in change.targets:
-            if place := self.emulated_nodes.get(name):
-                self._apply_to_node(place, name, change)
+            if node := self.emulated_nodes.get(name):
+                self._apply_to_node(node, name, change)
 
-    def _apply_to_node(self, place: EmulatedNode, name: str, change: FaultEvent) -> None:
+    def _apply_to_node(self, node: EmulatedNode, name: str, change: FaultEvent) -> None:
         if change.kind == "black-hole" and self.active_faults.is_black_holed(name):
-            place.isolate()
+            node.isolate()
         elif change.kind == "black-hole":
-            place.end_isolation()
-        elif deed := FAULT_ACTIONS.get(change.kind):
-            deed(place, change)
+            node.end_isolation()
+        elif action := FAULT_ACTIONS.get(change.kind):
+            action(node, change)
 
     def tick(self) -> Message:
         nodes = [
@@ -80,22 +82,22 @@
         return {"nodes": nodes, "open": sum(len(p.downstream_calls) for p in self.emulated_nodes.values())}
 
     def close(self) -> Message:
-        for place in self.emulated_nodes.values():
-            place.close()
+        for node in self.emulated_nodes.values():
+            node.close()
         return {"open": 0}
 
-    def _notify(self, name: str, say: str, **more: Any) -> None:
-        self.channel.send(say, place=name, **more)
+    def _notify(self, name: str, kind: str, **fields: Any) -> None:
+        self.channel.send(kind, place=name, **fields)
 
     def _close_idle(self) -> None:
-        for place in self.emulated_nodes.values():
-            place.close_idle()
+        for node in self.emulated_nodes.values():
+            node.close_idle()
         self.channel.loop.call_later(IDLE_CHECK_S, self._close_idle)
 
 
 FAULT_ACTIONS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
-    "kill": lambda place, change: place.crash("killed"),
-    "stop": lambda place, change: place.crash("stopped"),
-    "drain": lambda place, change: place.drain(),
-    "reset": lambda place, change: place.reset_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
+    "kill": lambda node, change: node.crash("killed"),
+    "stop": lambda node, change: node.crash("stopped"),
+    "drain": lambda node, change: node.drain(),
+    "reset": lambda node, change: node.reset_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
 }
--- a/slatelab/live/peer_network.py
+++ b/slatelab/live/peer_network.py
@@ -49,5 +49,5 @@
         self.relay.close()
 
 
-def _host_port(place: tuple[str, int]) -> str:
-    return f"{place[0]}:{place[1]}"
+def _host_port(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -45,16 +45,18 @@
         default_factory=dict
     )  # of the operator's file, beside the usual ones; by proxy
 
-    def node_address(self, place: str) -> str:
+    def node_address(self, node_id: str) -> str:
         """host:port of a place."""
-        return next(f"{site.host}:{site.port}" for site in self.locations if site.spec.id == place)
+        return next(
+            f"{location.host}:{location.port}" for location in self.locations if location.spec.id == node_id
+        )
 
     def members(self, tier: int) -> list[dict[str, Any]]:
         """The nodes of a tier as they stand at the beginning."""
         return [
-            settings.member_entry(site.spec, f"{site.host}:{site.port}", "SERVING", 0)
-            for site in self.locations
-            if site.spec.tier == tier
+            settings.member_entry(location.spec, f"{location.host}:{location.port}", "SERVING", 0)
+            for location in self.locations
+            if location.spec.tier == tier
         ]
 
     def locations_by_process(self) -> list[list[NodeLocation]]:
@@ -70,8 +72,8 @@
 
     def operator_config(self, proxy: ProxySpec) -> str:
         """The operator's file of a proxy; "" where all is as usual."""
-        usual = type(self.scenario.proxy.storms)()
-        changed = self.scenario.proxy.storms.model_dump().items() - usual.model_dump().items()
+        defaults = type(self.scenario.proxy.storms)()
+        changed = self.scenario.proxy.storms.model_dump().items() - defaults.model_dump().items()
         storms = (
             "[storms]\n" + "".join(f"{k} = {json.dumps(v)}\n" for k, v in sorted(changed)) if changed else ""
         )
@@ -79,10 +81,10 @@
 
     def write_config(self, path: Path, proxy: ProxySpec, members: list[dict[str, Any]], life: int) -> None:
         """Put in place whole, as a proxy may read it at any moment. Each life has a seed of its own."""
-        door, desk = self.proxy_addresses[proxy.name], self.discovery_endpoints[proxy.name]
+        address, endpoint = self.proxy_addresses[proxy.name], self.discovery_endpoints[proxy.name]
         seed = f"{self.random_streams.stream('proxy', proxy.name, life).getrandbits(64):016x}"
-        listen, asks = f"{door.host}:{door.port}", f"{desk.host}:{desk.port}"
-        tree = settings.build_config(self.scenario, proxy, listen, asks, members, seed)
+        listen, discovery = f"{address.host}:{address.port}", f"{endpoint.host}:{endpoint.port}"
+        tree = settings.build_config(self.scenario, proxy, listen, discovery, members, seed)
         draft = path.with_suffix(".new")
         draft.write_text(json.dumps(tree, indent=1))
         os.replace(draft, path)
@@ -92,26 +94,42 @@
     """Raises ScenarioError, and InvalidRunError where this machine cannot hold it."""
     if scenario.proxy.kind != "slatehub":
         raise InvalidRunError(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
-    draw = RandomStreams(seed)
-    nodes = fleet.build_nodes(scenario, draw)
+    random_streams = RandomStreams(seed)
+    nodes = fleet.build_nodes(scenario, random_streams)
     proxies = fleet.build_proxies(scenario, nodes)
     if len(proxies) > MAX_PROXIES:
         raise InvalidRunError(f"{len(proxies)} proxies: more than the {MAX_PROXIES} that a live run starts")
-    doors = {p.name: ProxyAddress(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
-    desks = {
+    proxy_addresses = {p.name: ProxyAddress(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
+    discovery_endpoints = {
         p.name: DiscoveryEndpoint(p.name, p.tier, at.discovery(i), at.port) for i, p in enumerate(proxies)
     }
-    asides = [
+    lab_endpoints = [
         DiscoveryEndpoint("", tier, at.discovery(len(proxies) + tier), at.port)
         for tier in range(len(scenario.tiers))
     ]
-    own = {p.owner_node: p.name for p in proxies if p.owner_node}
-    sites = [
-        NodeLocation(n, at.node(i), at.port, own.get(n.id, ""), doors[own[n.id]].host if n.id in own else "")
+    proxy_of_node = {p.owner_node: p.name for p in proxies if p.owner_node}
+    locations = [
+        NodeLocation(
+            n,
+            at.node(i),
+            at.port,
+            proxy_of_node.get(n.id, ""),
+            proxy_addresses[proxy_of_node[n.id]].host if n.id in proxy_of_node else "",
+        )
         for i, n in enumerate(nodes)
     ]
-    changes = faults.build_fault_schedule(scenario, draw, nodes, proxies)
-    return Plan(scenario, draw, nodes, proxies, changes, doors, desks, asides, sites)
+    changes = faults.build_fault_schedule(scenario, random_streams, nodes, proxies)
+    return Plan(
+        scenario,
+        random_streams,
+        nodes,
+        proxies,
+        changes,
+        proxy_addresses,
+        discovery_endpoints,
+        lab_endpoints,
+        locations,
+    )
 
 
 def _max_processes() -> int:
--- a/slatelab/live/proxy_processes.py
+++ b/slatelab/live/proxy_processes.py
@@ -36,9 +36,9 @@
     """One proxy over all its lives. `state`: down, starting, up, stopping. `ends_as`: how the process now
     running is to end ("": not at all), so that any other end is a crash."""
 
-    def __init__(self, crew: ProxyFleet, spec: ProxySpec) -> None:
-        self.fleet, self.spec, self.name = crew, spec, spec.name
-        self.config = crew.folder / f"{spec.name}.json"
+    def __init__(self, fleet: ProxyFleet, spec: ProxySpec) -> None:
+        self.fleet, self.spec, self.name = fleet, spec, spec.name
+        self.config = fleet.folder / f"{spec.name}.json"
         self.state = "down"
         self.expected_end = ""
         self.life = 0
@@ -70,12 +70,12 @@
             self._launch(members)
 
     def _launch(self, members: list[dict[str, Any]]) -> None:
-        crew, door, desk = (
+        fleet, address, endpoint = (
             self.fleet,
             self.fleet.plan.proxy_addresses[self.name],
             self.fleet.plan.discovery_endpoints[self.name],
         )
-        crew.plan.write_config(self.config, self.spec, members, self.life)
+        fleet.plan.write_config(self.config, self.spec, members, self.life)
         env = {
             key: value
             for key, value in os.environ.items()
@@ -84,10 +84,10 @@
         env |= {
             "EDGE_CONFIG": str(self.config),
             "EDGE_NAME": self.name,
-            "EDGE_LISTEN": f"{door.host}:{door.port}",
-            "EDGE_DISCOVERY": f"{desk.host}:{desk.port}",
+            "EDGE_LISTEN": f"{address.host}:{address.port}",
+            "EDGE_DISCOVERY": f"{endpoint.host}:{endpoint.port}",
         }
-        if own := crew.plan.operator_config(
+        if own := fleet.plan.operator_config(
             self.spec
         ):  # an older tree does not know the variable, and goes on without
             env["SLATEHUB_OPERATOR"] = str(self.config.with_suffix(".toml"))
@@ -95,22 +95,22 @@
         reading, writing = os.pipe()
         command = [sys.executable, "-B", "-m", "slatehub", "serve"]
         try:
-            self.child = crew.supervisor.start(
-                self.name, command, cwd=crew.source_tree, env=env, stderr=writing
+            self.child = fleet.supervisor.start(
+                self.name, command, cwd=fleet.source_tree, env=env, stderr=writing
             )
         finally:
             os.close(writing)
-        log = (crew.folder / f"{self.name}.log").open("ab")
+        log = (fleet.folder / f"{self.name}.log").open("ab")
         os.set_blocking(reading, False)
-        crew.loop.add_reader(reading, self._read, reading, log)
-        crew.loop.add_reader(self.child.pidfd, crew.guarded, self._ended, self.child)
-        crew.spawn(self._poll_ready(self.life))
+        fleet.loop.add_reader(reading, self._read, reading, log)
+        fleet.loop.add_reader(self.child.pidfd, fleet.guarded, self._ended, self.child)
+        fleet.spawn(self._poll_ready(self.life))
 
     async def _poll_ready(self, life: int) -> None:
         """Asks until it is ready."""
-        door = self.fleet.plan.proxy_addresses[self.name]
+        address = self.fleet.plan.proxy_addresses[self.name]
         while self.life == life and self.state == "starting":
-            status, _ = await fetch(door.host, door.port, "/ready")
+            status, _ = await fetch(address.host, address.port, "/ready")
             if status == 200 and self.life == life and self.state == "starting":
                 self.state = "up"
                 self.fleet.add_fact(ProxyUp(self.fleet.now(), self.name, self.spec.tier))
@@ -158,10 +158,10 @@
             self.fleet.plan.write_config(self.config, self.spec, members, self.life)
             self.fleet.supervisor.signal(self.child, signal.SIGHUP)
 
-    def _record_down(self, why: str) -> None:
-        if self.expected_end != why:
-            self.expected_end = why
-            self.fleet.add_fact(ProxyDown(self.fleet.now(), self.name, why))
+    def _record_down(self, reason: str) -> None:
+        if self.expected_end != reason:
+            self.expected_end = reason
+            self.fleet.add_fact(ProxyDown(self.fleet.now(), self.name, reason))
 
     def _leave_front(self, after_s: float) -> None:
         life = self.life
@@ -227,8 +227,8 @@
     def __init__(
         self,
         plan: Plan,
-        keeper: ProcessSupervisor,
-        tree: Path,
+        supervisor: ProcessSupervisor,
+        source_tree: Path,
         folder: Path,
         now: Callable[[], int],
         add: Callable[[Fact], None],
@@ -236,7 +236,7 @@
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         guarded: Callable[..., None],
     ) -> None:
-        self.plan, self.supervisor, self.source_tree, self.folder = plan, keeper, tree, folder
+        self.plan, self.supervisor, self.source_tree, self.folder = plan, supervisor, source_tree, folder
         self.now, self.add_fact, self.on_front_change, self.spawn, self.guarded = (
             now,
             add,
@@ -254,8 +254,8 @@
 
     async def members(self, tier: int) -> list[dict[str, Any]]:
         """The nodes of a tier as discovery shows them now, or as it did when it last answered."""
-        desk = self.plan.lab_endpoints[tier]
-        status, body = await fetch(desk.host, desk.port, "/v1/endpoints")
+        endpoint = self.plan.lab_endpoints[tier]
+        status, body = await fetch(endpoint.host, endpoint.port, "/v1/endpoints")
         if status == 200:
             self.known_members[tier] = [m for m in json.loads(body)["members"] if m["phase"] != "DELETED"]
         return self.known_members[tier]
--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -55,25 +55,27 @@
     left. `stall` holds up the load generator (when in the day, how long; microseconds), for tests. Raises
     InvalidRunError, ScenarioError, OSError. All processes are gone when it returns, whatever the way out."""
     scratch.mkdir(parents=True, exist_ok=True)
-    left = leftover_processes(scratch)
+    leftovers = leftover_processes(scratch)
     with ended_by_sigterm():
-        addresses, keeper = Addresses(), ProcessSupervisor(scratch)
-        between: LivePeerNetwork | None = None
+        addresses, supervisor = Addresses(), ProcessSupervisor(scratch)
+        peer_network: LivePeerNetwork | None = None
         try:
             layout = make_plan(scenario, seed, addresses)
             if scenario.fleet.peers:
-                between = LivePeerNetwork(
+                peer_network = LivePeerNetwork(
                     scenario, layout.proxies, layout.random_streams.stream("peers"), scratch
                 )
-                layout.operator_tables = {proxy.name: between.fleet_table(proxy) for proxy in layout.proxies}
-            day = LiveRun(layout, seed, watch, scratch, between)
-            recording = asyncio.run(day.play(folder, tree, keeper, stall))
+                layout.operator_tables = {
+                    proxy.name: peer_network.fleet_table(proxy) for proxy in layout.proxies
+                }
+            live_run = LiveRun(layout, seed, watch, scratch, peer_network)
+            recording = asyncio.run(live_run.play(folder, tree, supervisor, stall))
         finally:
-            keeper.close()
+            supervisor.close()
             addresses.close()
-            if between:
-                between.close()
-    recording.notes += [f"still running from an earlier run: {name}" for name in left]
+            if peer_network:
+                peer_network.close()
+    recording.notes += [f"still running from an earlier run: {name}" for name in leftovers]
     return recording
 
 
@@ -86,9 +88,9 @@
         seed: int,
         watch: ProgressCallback | None,
         scratch: Path,
-        between: LivePeerNetwork | None = None,
+        peer_network: LivePeerNetwork | None = None,
     ) -> None:
-        self.peer_network = between
+        self.peer_network = peer_network
         self.plan, self.scenario = layout, layout.scenario
         self.seed, self.on_progress, self.scratch = seed, watch, scratch
         self.base = monotonic_us()
@@ -103,9 +105,9 @@
     # ------------------------------------------------------------ the order of things
 
     async def play(
-        self, folder: Path, tree: Path, keeper: ProcessSupervisor, stall: tuple[int, int] | None
+        self, folder: Path, tree: Path, supervisor: ProcessSupervisor, stall: tuple[int, int] | None
     ) -> Recording:
-        self._open(tree, keeper)
+        self._open(tree, supervisor)
         unix_us = time.time_ns() // 1000 - self.now()
         self.emulation.start(self.plan, self.seed, folder, self.base, unix_us, stall)
         await self._wait_unless_failed(
@@ -132,16 +134,16 @@
         )
         return self._recording()
 
-    def _open(self, tree: Path, keeper: ProcessSupervisor) -> None:
+    def _open(self, tree: Path, supervisor: ProcessSupervisor) -> None:
         """What needs the loop."""
         self.loop = asyncio.get_running_loop()
         self.failure: asyncio.Future[None] = self.loop.create_future()
         self.over = asyncio.Event()  # the last order has come to its end
         self.facts = FactWriter(self.scratch / "lab.jsonl")
-        self.emulation = Emulation(self.scratch, keeper, self._handle_message, self._fail)
+        self.emulation = Emulation(self.scratch, supervisor, self._handle_message, self._fail)
         add, guarded = self.facts.add, self._guarded
         self.proxy_fleet = ProxyFleet(
-            self.plan, keeper, tree, self.scratch, self.now, add, self._set_in_front, self._spawn, guarded
+            self.plan, supervisor, tree, self.scratch, self.now, add, self._set_in_front, self._spawn, guarded
         )
 
     def _start_day(self) -> None:
@@ -214,21 +216,21 @@
 
     # ------------------------------------------------------------ what the emulation says
 
-    def _handle_message(self, helper: Helper, say: str, message: Message) -> None:
-        if say == "over":
+    def _handle_message(self, helper: Helper, kind: str, message: Message) -> None:
+        if kind == "over":
             self.over.set()
-        elif say == "tick" and helper is self.emulation.load:
+        elif kind == "tick" and helper is self.emulation.load:
             self._report_progress(message)
-        elif say == "up":
+        elif kind == "up":
             self.down_nodes.discard(message["place"])
             if message["since"]:  # the others stand from the beginning
                 self._register_node(message, "SERVING", message["since"])
-        elif say == "down":
+        elif kind == "down":
             self.down_nodes.add(message["place"])
             self._register_node(message, "DELETED", 0)
             if proxy := self.proxy_fleet.owned.get(message["place"]):
                 proxy.kill()
-        elif say == "drains":
+        elif kind == "drains":
             self._register_node(message, "DRAINING", 0)
 
     def _register_node(self, message: Message, phase: str, since: int) -> None:
--- a/slatelab/live/schedule_lag.py
+++ b/slatelab/live/schedule_lag.py
@@ -17,10 +17,10 @@
         self._lags_us = array("q")
         self._by_second: dict[int, tuple[int, int]] = {}  # count and sum
 
-    def record(self, intended: int, by_us: int) -> None:
-        self._lags_us.append(by_us)
-        count, whole = self._by_second.get(intended // SECOND_US, (0, 0))
-        self._by_second[intended // SECOND_US] = (count + 1, whole + by_us)
+    def record(self, intended: int, lag_us: int) -> None:
+        self._lags_us.append(lag_us)
+        count, total_us = self._by_second.get(intended // SECOND_US, (0, 0))
+        self._by_second[intended // SECOND_US] = (count + 1, total_us + lag_us)
 
     @property
     def p99_us(self) -> int:
@@ -34,7 +34,7 @@
             return (
                 f"the load ran late by {p99 / 1000:.1f} ms at p99: this machine is too busy for this scenario"
             )
-        second, mean = max(((s, whole / count) for s, (count, whole) in self._by_second.items()),
+        second, mean = max(((s, total_us / count) for s, (count, total_us) in self._by_second.items()),
                            key=lambda pair: pair[1], default=(0, 0.0))  # fmt: skip
         if mean > MAX_MEAN_US:
             return (
--- a/slatelab/live/server_connection.py
+++ b/slatelab/live/server_connection.py
@@ -44,18 +44,18 @@
 
     def now(self) -> int: ...
 
-    def connection_opened(self, visit: ServerConnection) -> None: ...
+    def connection_opened(self, connection: ServerConnection) -> None: ...
 
-    def request_received(self, visit: ServerConnection, request: Request) -> None: ...
+    def request_received(self, connection: ServerConnection, request: Request) -> None: ...
 
-    def connection_closed(self, visit: ServerConnection) -> None: ...
+    def connection_closed(self, connection: ServerConnection) -> None: ...
 
 
 class ServerConnection(asyncio.Protocol):
     """`key` is the attempt now on it, 0: none; `since`, when it last came to rest."""
 
-    def __init__(self, host: RequestHandler) -> None:
-        self.handler = host
+    def __init__(self, handler: RequestHandler) -> None:
+        self.handler = handler
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.key = 0
@@ -96,10 +96,10 @@
 
     def on_message_complete(self) -> None:
         first, self._first_byte_at, self._size = self._first_byte_at, None, 0
-        words = [self._headers.get(key, b"").decode("latin-1") for key in REQUEST_HEADERS]
+        values = [self._headers.get(key, b"").decode("latin-1") for key in REQUEST_HEADERS]
         request = Request(
-            self._url.decode("latin-1"), first or self.handler.now(), words[0], words[1], words[2],
-            parse_timeout_us(self._headers.get(b"x-timeout", b"")), parse_attrs(words[4]),
+            self._url.decode("latin-1"), first or self.handler.now(), values[0], values[1], values[2],
+            parse_timeout_us(self._headers.get(b"x-timeout", b"")), parse_attrs(values[4]),
         )  # fmt: skip
         self._clear()
         self.handler.request_received(self, request)
@@ -144,8 +144,8 @@
 
 def parse_timeout_us(value: bytes) -> int:
     """An X-Timeout, 0 where it is none."""
-    found = TIMEOUT_PATTERN.match(value.strip())
-    return max(1, int(float(found[1]) * (1000 if found[2] == b"m" else 1))) if found else 0
+    match = TIMEOUT_PATTERN.match(value.strip())
+    return max(1, int(float(match[1]) * (1000 if match[2] == b"m" else 1))) if match else 0
 
 
 def parse_attrs(value: str) -> dict[str, str]:
--- a/slatelab/peers/faults.py
+++ b/slatelab/peers/faults.py
@@ -9,12 +9,12 @@
 from .network import PeerNetwork
 
 
-def apply_change(net: PeerNetwork, change: FaultEvent, everybody: Iterable[str], usual_lost: float) -> None:
+def apply_change(net: PeerNetwork, change: FaultEvent, proxy_names: Iterable[str], usual_loss: float) -> None:
     """`everybody`: the proxies that are on the net. Those of another tier hear nothing of each other anyway."""
     if change.kind == "peer-lossy":
-        net.faults.loss = change.spec.part if change.is_start else usual_lost
+        net.faults.loss = change.spec.part if change.is_start else usual_loss
     elif change.is_start:
-        others = [name for name in everybody if name not in change.targets]
+        others = [name for name in proxy_names if name not in change.targets]
         net.partition(change.fault, change.targets, others, change.kind == "peer-cut")
     else:
         net.heal(change.fault)
--- a/slatelab/peers/network.py
+++ b/slatelab/peers/network.py
@@ -33,8 +33,10 @@
     # By fault: ordered pairs that hear nothing.
     partitions: dict[str, frozenset[tuple[str, str]]] = field(default_factory=dict)
 
-    def partition(self, fault: str, froms: Iterable[str], tos: Iterable[str], both: bool = True) -> None:
-        pairs = {(a, b) for a in froms for b in tos if a != b}
+    def partition(
+        self, fault: str, senders: Iterable[str], receivers: Iterable[str], both: bool = True
+    ) -> None:
+        pairs = {(a, b) for a in senders for b in receivers if a != b}
         self.partitions[fault] = frozenset(pairs | ({(b, a) for a, b in pairs} if both else set()))
 
     def heal(self, fault: str) -> None:
@@ -44,16 +46,16 @@
         """So much later each copy arrives, and what it then is."""
         if any((sender, receiver) in pairs for pairs in self.partitions.values()):
             return []
-        weather, rng = self.faults, self.rng
-        copies = 2 if weather.duplication and rng.random() < weather.duplication else 1
-        return [self._copy(data) for _ in range(copies) if not (weather.loss and rng.random() < weather.loss)]
+        faults, rng = self.faults, self.rng
+        copies = 2 if faults.duplication and rng.random() < faults.duplication else 1
+        return [self._copy(data) for _ in range(copies) if not (faults.loss and rng.random() < faults.loss)]
 
     def _copy(self, data: bytes) -> tuple[int, bytes]:
-        weather, rng = self.faults, self.rng
-        wait = int(self.delay * 2 * rng.random()) + weather.delay
-        if weather.reordering and rng.random() < weather.reordering:
-            wait += int(weather.reordering_delay * rng.random())
-        if weather.corruption and data and rng.random() < weather.corruption:
+        faults, rng = self.faults, self.rng
+        wait = int(self.delay * 2 * rng.random()) + faults.delay
+        if faults.reordering and rng.random() < faults.reordering:
+            wait += int(faults.reordering_delay * rng.random())
+        if faults.corruption and data and rng.random() < faults.corruption:
             at = rng.randrange(len(data))
             data = data[:at] + bytes([data[at] ^ (1 + rng.randrange(255))]) + data[at + 1 :]
         return wait, data
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -67,45 +67,45 @@
         self.partition_count = 0
 
     def play(self, events: Sequence[Event]) -> RunResult:
-        votes = self.simulation
-        votes.start(*self.names)
-        votes.run(2 * SECOND)
+        simulation = self.simulation
+        simulation.start(*self.names)
+        simulation.run(2 * SECOND)
         for event in events:
-            votes.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
-        votes.run(RUN_US)
+            simulation.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
+        simulation.run(RUN_US)
         self._end_all_faults()
-        keys = sorted({asked.key for asked in votes.history})
-        unread = [key for key in keys if votes.read(key) is None]
-        found = linearizability_violations(votes.history) + [
+        keys = sorted({asked.key for asked in simulation.history})
+        unread = [key for key in keys if simulation.read(key) is None]
+        found = linearizability_violations(simulation.history) + [
             f"{key.hex()[:6]}: cannot be read once all is well" for key in unread
         ]
-        late = max((a.ended - a.began for a in votes.history if a.ended), default=0)
-        self.counts.update(asked.outcome for asked in votes.history)
+        late = max((a.ended - a.began for a in simulation.history if a.ended), default=0)
+        self.counts.update(asked.outcome for asked in simulation.history)
         return RunResult(found, self.counts, late)
 
     def _end_all_faults(self) -> None:
         """All faults are over."""
-        votes = self.simulation
-        votes.net.partitions.clear()
+        simulation = self.simulation
+        simulation.net.partitions.clear()
         self._clear_datagram_faults()
-        for name in list(votes.frozen):
-            votes.unfreeze(name)
+        for name in list(simulation.frozen):
+            simulation.unfreeze(name)
         for name in self.names:
-            if name in votes.running and votes.running[name].store_failure:
-                votes.crash(name)
-            if name not in votes.running:
-                votes.start(name)
-            votes.disks[name].delay = 200
-        votes.run(10 * SECOND)
+            if name in simulation.running and simulation.running[name].store_failure:
+                simulation.crash(name)
+            if name not in simulation.running:
+                simulation.start(name)
+            simulation.disks[name].delay = 200
+        simulation.run(10 * SECOND)
 
     def _clear_datagram_faults(self) -> None:
-        weather = self.simulation.net.faults
-        weather.loss = weather.duplication = weather.reordering = 0.0
+        faults = self.simulation.net.faults
+        faults.loss = faults.duplication = faults.reordering = 0.0
 
     def _do(self, event: Event) -> None:
-        name, votes = self.names[event.machine], self.simulation
+        name, simulation = self.names[event.machine], self.simulation
         if event.kind == "ask":
-            votes.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
+            simulation.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
             return
         self.counts[f"fault {event.kind}"] += 1
         getattr(self, f"_{event.kind}")(name, event)
@@ -121,15 +121,16 @@
 
     def _wipe(self, name: str, event: Event) -> None:
         """Only while the group can bear it: all the others vote with the memory that they have."""
-        votes = self.simulation
-        newest = max((m.config for m in votes.running.values()), key=lambda c: c.epoch, default=None)
+        simulation = self.simulation
+        newest = max((m.config for m in simulation.running.values()), key=lambda c: c.epoch, default=None)
         whole = newest is not None and newest.epoch and not newest.old_voters
         held = newest is not None and all(
-            (disk := votes.disks.get(v.name)) is not None and disk.store == v.store_id for v in newest.voters
+            (disk := simulation.disks.get(v.name)) is not None and disk.store == v.store_id
+            for v in newest.voters
         )
         if whole and held and newest and name in voting(newest):
             self.counts["wiped"] += 1
-            votes.crash(name, wipe=True)
+            simulation.crash(name, wipe=True)
             self._start_later(name, event.duration)
 
     def _trap(self, name: str, event: Event) -> None:
@@ -159,8 +160,8 @@
         self._cut(name, event, both=False)
 
     def _lossy(self, name: str, event: Event) -> None:
-        weather = self.simulation.net.faults
-        weather.loss, weather.duplication, weather.reordering, weather.reordering_delay = (
+        faults = self.simulation.net.faults
+        faults.loss, faults.duplication, faults.reordering, faults.reordering_delay = (
             event.magnitude * 0.6,
             0.2,
             0.3,
@@ -187,9 +188,9 @@
 
     def _halt(self, name: str, event: Event) -> None:
         """All at once."""
-        for one in self.names:
-            self.simulation.crash(one)
-            self._start_later(one, int(event.duration * self.rng.random()))
+        for node in self.names:
+            self.simulation.crash(node)
+            self._start_later(node, int(event.duration * self.rng.random()))
 
 
 def run_seed(
--- a/slatelab/peers/relay.py
+++ b/slatelab/peers/relay.py
@@ -41,7 +41,7 @@
         self.carried: Counter[tuple[str, str]] = Counter()
         self.socks = {name: _bound_socket() for name in names}
         self.listen_addresses = free_udp_addresses(names)
-        self.name_by_source = {place: name for name, place in self.listen_addresses.items()}
+        self.name_by_source = {address: name for name, address in self.listen_addresses.items()}
         self._delayed: list[tuple[float, int, str, str, bytes]] = []
         self._sequence = 0
         self._running = True
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -108,11 +108,11 @@
             if disk is None:
                 disk = self.disks[name] = Disk(self.rng.getrandbits(62) | 1)
             self.lives[name] = self.lives.get(name, 0) + 1
-            machine = self.build(
+            replica = self.build(
                 name, disk.store, self._clock(name), Random(self.rng.getrandbits(60)), disk.fresh
             )
-            machine.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
-            self.running[name] = machine
+            replica.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
+            self.running[name] = replica
             self._next_wakeup.pop(name, None)
             self._process_output(name)
 
@@ -157,16 +157,16 @@
         if name not in self.running or name in self.frozen:
             return None
         self.tokens += 1
-        asked = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
-        self.history.append(asked)
-        machine = self.running[name]
-        number = machine.propose(self._clock(name), key, Append(asked.token))
-        self.open[name, self.lives[name], number] = asked
+        operation = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
+        self.history.append(operation)
+        replica = self.running[name]
+        number = replica.propose(self._clock(name), key, Append(operation.token))
+        self.open[name, self.lives[name], number] = operation
         self._process_output(name)
-        return asked
+        return operation
 
-    def _end_operation(self, asked: Operation, how: str, value: bytes) -> None:
-        asked.ended, asked.outcome, asked.value = self.now, how, value
+    def _end_operation(self, operation: Operation, how: str, value: bytes) -> None:
+        operation.ended, operation.outcome, operation.value = self.now, how, value
 
     # ------------------------------------------------------------ time
 
@@ -204,20 +204,20 @@
         self._process_output(name)
 
     def _process_output(self, name: str) -> None:
-        machine = self.running[name]
-        records, out, done = machine.drain_output()
+        replica = self.running[name]
+        records, out, done = replica.drain_output()
         self.disks[name].unsynced += records
         self._sync(name)
         by: dict[str, list[Message]] = {}
         for to, message in out:
             by.setdefault(to, []).append(message)
         for to, messages in by.items():
-            self._send(name, to, pack(MessageBatch(machine.self_voter.store_id, messages[:64])))
+            self._send(name, to, pack(MessageBatch(replica.self_voter.store_id, messages[:64])))
         for result in done:
             self._result(name, result)
-        self.lines += [(self.now, name, line) for line in machine.log_lines]
-        machine.log_lines.clear()
-        due = max(self.now + 1, machine.next_deadline() - self.clocks.get(name, 0))
+        self.lines += [(self.now, name, line) for line in replica.log_lines]
+        replica.log_lines.clear()
+        due = max(self.now + 1, replica.next_deadline() - self.clocks.get(name, 0))
         if (
             name not in self._next_wakeup
             or due < self._next_wakeup[name]
@@ -247,12 +247,12 @@
 
     def _synced(self, name: str, what: tuple[int, int]) -> None:
         life, count = what
-        disk, machine = self.disks[name], self.running[name]
+        disk, replica = self.disks[name], self.running[name]
         if life != self.lives[name]:
             return
         disk.busy = False
         if disk.full:
-            machine.fail_store("no space left")
+            replica.fail_store("no space left")
         else:
             disk.synced += disk.unsynced[:count]
             del disk.unsynced[:count]
@@ -262,7 +262,7 @@
             ):  # the disk goes on while the process stands still; it hears of it when it wakes
                 self.call_after(0, lambda: self._mark_durable_later(name, life, count))
                 return
-            machine.mark_durable(self._clock(name), machine.durable_index + count)
+            replica.mark_durable(self._clock(name), replica.durable_index + count)
         self._process_output(name)
 
     def _mark_durable_later(self, name: str, life: int, count: int) -> None:
@@ -275,9 +275,9 @@
         self._process_output(name)
 
     def _result(self, name: str, result: OperationResult) -> None:
-        asked = self.open.pop((name, self.lives[name], result.operation), None)
-        if asked:
-            self._end_operation(asked, result.outcome, result.value)
+        operation = self.open.pop((name, self.lives[name], result.operation), None)
+        if operation:
+            self._end_operation(operation, result.outcome, result.value)
 
     def _schedule(self, due: int, kind: str, name: str, what: Any) -> None:
         self._sequence += 1
@@ -289,10 +289,10 @@
         """What stands there, as a majority tells: an operation of its own, tried at each that is up."""
         for _ in range(40):
             for name in sorted(self.running):
-                asked = self.append_token(name, key)
+                operation = self.append_token(name, key)
                 self.run(SECOND)
-                if asked and asked.outcome == WRITTEN:
-                    return asked.value
+                if operation and operation.outcome == WRITTEN:
+                    return operation.value
         return None
 
 
@@ -304,8 +304,8 @@
     """What no linearizable register could have answered, in order of time; the shortest history that shows each. The
     last operation on each register must be one that was answered."""
     found: list[str] = []
-    for key in sorted({asked.key for asked in history}):
-        ops = [asked for asked in history if asked.key == key]
+    for key in sorted({operation.key for operation in history}):
+        ops = [operation for operation in history if operation.key == key]
         found += _register_violations(key, ops)
     return found
 
@@ -315,9 +315,9 @@
     if not done:
         return []
     final = tokens(max(done, key=lambda op: (op.ended, len(op.value))).value)
-    place = {token: i for i, token in enumerate(final)}
+    position = {token: i for i, token in enumerate(final)}
     found = []
-    if len(place) < len(final):
+    if len(position) < len(final):
         found.append(f"{key.hex()[:6]}: a token stands twice")
     for op in done:
         seen = tokens(op.value)
@@ -327,11 +327,11 @@
             )
             found.append(f"{key.hex()[:6]}: {text}")
     for op in ops:
-        if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in place:
+        if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in position:
             found.append(
                 f"{key.hex()[:6]}: token {_short(op.token)} was told as not written, and stands there"
             )
-    order = sorted((op for op in ops if op.token in place), key=lambda op: place[op.token])
+    order = sorted((op for op in ops if op.token in position), key=lambda op: position[op.token])
     latest = 0
     for op in order:
         if op.ended and op.outcome == WRITTEN and op.ended < latest:
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -173,9 +173,9 @@
     at = Addresses()
 
     async def main() -> None:
-        town = NodeFixture(tmp, at)
-        await act(town)
-        town.node.close()
+        fixture = NodeFixture(tmp, at)
+        await act(fixture)
+        fixture.node.close()
 
     try:
         uvloop.run(main())
@@ -189,16 +189,16 @@
 
 
 def test_a_black_hole_hangs_connects_and_its_end_resets_what_was_open(tmp_path: Path) -> None:
-    async def act(town: NodeFixture) -> None:
-        reader, writer = await town.connect()
-        town.node.isolate()
-        await assert_times_out(asyncio.open_connection(*town.address))
+    async def act(fixture: NodeFixture) -> None:
+        reader, writer = await fixture.connect()
+        fixture.node.isolate()
+        await assert_times_out(asyncio.open_connection(*fixture.address))
         writer.write(REQUEST)
         await assert_times_out(reader.read(1))
-        town.node.end_isolation()
+        fixture.node.end_isolation()
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.read(1), EXPECTED_WITHIN_S)
-        reader, writer = await town.connect()
+        reader, writer = await fixture.connect()
         writer.write(REQUEST)
         assert await asyncio.wait_for(reader.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
 
@@ -206,15 +206,15 @@
 
 
 def test_a_frozen_node_takes_connections_and_answers_once_it_thaws(tmp_path: Path) -> None:
-    async def act(town: NodeFixture) -> None:
-        town.node.set_condition({**town.no_faults, "frozen": True})
-        reader, writer = await town.connect()
+    async def act(fixture: NodeFixture) -> None:
+        fixture.node.set_condition({**fixture.no_faults, "frozen": True})
+        reader, writer = await fixture.connect()
         writer.write(REQUEST)
-        prober, probe = await town.connect()
+        prober, probe = await fixture.connect()
         probe.write(b"GET /health HTTP/1.1\r\n\r\n")
         await assert_times_out(reader.read(1))
         await assert_times_out(prober.read(1))
-        town.node.set_condition(town.no_faults)
+        fixture.node.set_condition(fixture.no_faults)
         assert await asyncio.wait_for(reader.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
         assert await asyncio.wait_for(prober.readline(), EXPECTED_WITHIN_S) == b"HTTP/1.1 200 OK\r\n"
 
@@ -222,18 +222,18 @@
 
 
 def test_a_killed_node_resets_its_connections_and_refuses_new_ones(tmp_path: Path) -> None:
-    async def act(town: NodeFixture) -> None:
-        reader, _ = await town.connect()
-        while not town.node.connections:
+    async def act(fixture: NodeFixture) -> None:
+        reader, _ = await fixture.connect()
+        while not fixture.node.connections:
             await asyncio.sleep(0)
-        town.node.crash("killed")
+        fixture.node.crash("killed")
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.read(1), EXPECTED_WITHIN_S)
         with pytest.raises(ConnectionRefusedError):
-            await town.connect()
-        town.node.restart(True, town.no_faults, False)
-        await town.connect()
-        assert town.notifications == ["up", "down", "up"] and town.node.spec.id == "s-front-1-r1"
+            await fixture.connect()
+        fixture.node.restart(True, fixture.no_faults, False)
+        await fixture.connect()
+        assert fixture.notifications == ["up", "down", "up"] and fixture.node.spec.id == "s-front-1-r1"
 
     run_with_node(tmp_path, act)
 
@@ -248,8 +248,10 @@
         self.loop = asyncio.get_running_loop()
         self.listener_socket = listener("127.0.0.1", 0)
         self.unexpected_statuses: list[int] = []
-        address, heard = self.listener_socket.getsockname(), self.unexpected_statuses.append
-        self.pool = ConnectionPool(self.loop, monotonic_us, address, lambda _, status, body: heard(status))
+        address, record_status = self.listener_socket.getsockname(), self.unexpected_statuses.append
+        self.pool = ConnectionPool(
+            self.loop, monotonic_us, address, lambda _, status, body: record_status(status)
+        )
         self.ended: asyncio.Queue[Exchange] = asyncio.Queue()
 
     async def send_request(self) -> Exchange:
@@ -280,44 +282,44 @@
 
 
 def test_a_request_that_a_closing_crossed_goes_out_once_more() -> None:
-    async def act(shop: ScriptedServer) -> None:
-        await shop.send_request()
-        first = await shop.accept()
-        await shop.serve(first, OK_RESPONSE)
-        await shop.next_finished()
+    async def act(server: ScriptedServer) -> None:
+        await server.send_request()
+        first = await server.accept()
+        await server.serve(first, OK_RESPONSE)
+        await server.next_finished()
         first.close()  # the caller's loop has not heard of it when it writes the next
-        await shop.send_request()
-        await shop.serve(await shop.accept(), OK_RESPONSE)
-        again = await shop.next_finished()
+        await server.send_request()
+        await server.serve(await server.accept(), OK_RESPONSE)
+        again = await server.next_finished()
         assert again.status == 200 and again.resent
 
     run_with_server(act)
 
 
 def test_a_request_that_was_read_and_dropped_is_broken_off_and_not_sent_again() -> None:
-    async def act(shop: ScriptedServer) -> None:
-        await shop.send_request()
-        sock = await shop.accept()
-        await shop.serve(sock, OK_RESPONSE)
-        await shop.next_finished()
-        await shop.send_request()
-        await shop.serve(sock, b"")
+    async def act(server: ScriptedServer) -> None:
+        await server.send_request()
+        sock = await server.accept()
+        await server.serve(sock, OK_RESPONSE)
+        await server.next_finished()
+        await server.send_request()
+        await server.serve(sock, b"")
         sock.close()
-        lost = await shop.next_finished()
+        lost = await server.next_finished()
         assert (lost.status, lost.failure, lost.sent_at > 0) == (0, "closed", True)
-        await assert_times_out(shop.accept())
+        await assert_times_out(server.accept())
 
     run_with_server(act)
 
 
 def test_an_answer_that_nobody_asked_for_is_not_taken_for_the_next_ones() -> None:
-    async def act(shop: ScriptedServer) -> None:
-        await shop.send_request()
-        await shop.serve(await shop.accept(), OK_RESPONSE + OK_RESPONSE)
-        assert (await shop.next_finished()).status == 200
-        await shop.send_request()
-        await shop.serve(await shop.accept(), OK_RESPONSE.replace(b"200 OK", b"503 Full"))
-        assert (await shop.next_finished()).status == 503 and shop.unexpected_statuses == [200]
+    async def act(server: ScriptedServer) -> None:
+        await server.send_request()
+        await server.serve(await server.accept(), OK_RESPONSE + OK_RESPONSE)
+        assert (await server.next_finished()).status == 200
+        await server.send_request()
+        await server.serve(await server.accept(), OK_RESPONSE.replace(b"200 OK", b"503 Full"))
+        assert (await server.next_finished()).status == 503 and server.unexpected_statuses == [200]
 
     run_with_server(act)
 
