--- a/slatelab/live/addresses.py
+++ b/slatelab/live/addresses.py
@@ -1,6 +1,5 @@
-"""Where the parts of a run listen: one second byte of 127.x.y.z that no other run on this machine has, and
-one port for all of its addresses. It owns that choice. It must never give out an address outside
-127.0.0.0/8."""
+"""Listening addresses of a run: one second octet of 127.x.y.z that no other run on this machine uses, and one
+port shared by all addresses. This module only gives out addresses within 127.0.0.0/8."""
 
 from __future__ import annotations
 
@@ -10,18 +9,19 @@
 from slatelab.engine import InvalidRunError
 
 SECOND_OCTETS = range(64, 192)
-PORTS = range(10_240, 32_000)  # below those that the kernel gives to outgoing connections
+PORTS = range(10_240, 32_000)  # below the kernel's range of ephemeral ports
 FIRST_NODE_OCTET, FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET = (
     1,
     128,
     192,
-)  # third bytes from which their addresses count
+)  # first third octet of each kind of address
 HOSTS_PER_OCTET = 250
 
 
 class Addresses:
-    """Holds the second byte for as long as it is not closed, by the name of an abstract socket: that goes
-    with the process that bound it, whatever its end. Raises InvalidRunError where no net or port is free."""
+    """Reserves a second octet until it is closed, by binding an abstract socket named after it. The kernel
+    releases that name when the process ends, however it ends. Raises InvalidRunError if no octet or port
+    is free."""
 
     def __init__(self) -> None:
         self._lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
@@ -59,7 +59,8 @@
         return self._host(FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET, n)
 
     def discovery(self, n: int) -> str:
-        """One for each proxy: by it, discovery knows who asks."""
+        """The discovery address of proxy `n`. Each proxy has its own, so that discovery knows which proxy is
+        asking."""
         return self._host(FIRST_DISCOVERY_OCTET, 255, n)
 
     def _host(self, first: int, end: int, n: int) -> str:
@@ -82,7 +83,7 @@
 
 
 def listener(host: str, port: int, backlog: int = 4096) -> socket.socket:
-    """A listening socket that does not block. Raises OSError."""
+    """Returns a non-blocking listening socket. Raises OSError."""
     sock = socket.socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/slatelab/live/client_pool.py
+++ b/slatelab/live/client_pool.py
@@ -1,6 +1,6 @@
-"""The calling side of HTTP/1.1, for clients and for nodes that call on: connections that are kept, one
-request at a time on each, and how each request ended. It owns these connections. It must never choose a
-proxy, try again after anything but a closing that crossed the request, or write a fact."""
+"""Client side of HTTP/1.1, for clients and for nodes that make downstream calls: keep-alive connections with
+one request at a time on each, and the outcome of each request. This module does not choose a proxy and
+writes no facts. It resends a request only if the peer closed an idle connection at the same moment."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 import httptools
 
-CONNECT_TIMEOUT_S = 1.0  # a machine that does not answer is noticed so late
+CONNECT_TIMEOUT_S = 1.0  # limit after which an unreachable machine counts as a failed connect
 MAX_RESPONSE_BYTES = 256 * 1024
 MAX_TOKEN_BYTES = 200
-TCP_STATE_CLOSE = 7  # tcpi_state once a reset has come (include/net/tcp_states.h)
+TCP_STATE_CLOSE = 7  # tcpi_state after an RST was received (include/net/tcp_states.h)
 
 
 @dataclass(eq=False, slots=True)
 class Exchange:
-    """One request and how it ended: `status` of a whole answer, else 0 and `why`. `done` is called once,
-    unless it is given up. `sent_at`: when its last byte was written to a connection that has not turned out
-    to be unread; 0: never."""
+    """One request and its outcome: `status` of a complete response, or 0 and the reason in `failure`.
+    `on_finished` is called exactly once unless the exchange is cancelled. `sent_at` is when the last byte
+    was written to a connection on which the peer did not leave it unread; 0: never."""
 
     data: bytes
     on_finished: Callable[[Exchange], None]
@@ -34,7 +34,7 @@
     retry_after_us: int = 0
     failure: str = ""
     finished: bool = False
-    resent: bool = False  # has been sent once more already
+    resent: bool = False  # was already sent a second time
     connection: ClientConnection | None = None
     pool: ConnectionPool | None = None
 
@@ -46,7 +46,7 @@
             self.on_finished(self)
 
     def cancel(self) -> None:
-        """The caller no longer wants it: its connection is closed."""
+        """Cancels the exchange: the caller no longer wants the response, so the connection is closed."""
         if not self.finished:
             self.finished = True
             if self.connection:
@@ -54,15 +54,15 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection to the server."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: Transport | None = None
         self.exchange: Exchange | None = None
-        self.last_exchange: Exchange | None = None  # whose answer came last
+        self.last_exchange: Exchange | None = None  # the exchange that was answered last
         self.used = False
-        self.write_blocked = False  # the kernel has not yet taken all of the request
+        self.write_blocked = False  # the kernel has not yet accepted the whole request
         self.parser: Any = httptools.HttpResponseParser(self)
         self.status = 0
         self.has_length = False
@@ -75,7 +75,7 @@
     def connection_made(self, transport: BaseTransport) -> None:
         self.transport = cast(Transport, transport)
         self.pool.connections.add(self)
-        self.transport.set_write_buffer_limits(0)  # written at once, or pause_writing says that it was not
+        self.transport.set_write_buffer_limits(0)  # data is written immediately, or pause_writing is called
 
     def pause_writing(self) -> None:
         self.write_blocked = True
@@ -86,7 +86,7 @@
             self.exchange.sent_at = self.pool.now()
 
     def send(self, exchange: Exchange) -> None:
-        """Writes a request; its end is told to the exchange."""
+        """Writes the request; its outcome is reported to the exchange."""
         assert self.transport and self.exchange is None
         self.exchange = exchange
         exchange.connection = self
@@ -128,9 +128,7 @@
         exchange, self.exchange = self.exchange, None
         status, body, wait = self.status, bytes(self.body), self.retry_after_us
         self.status, self.has_length, self.retry_after_us, self.body = 0, False, 0, bytearray()
-        if (
-            exchange is None
-        ):  # nobody has asked: the judge should see it as a second answer to the last request
+        if exchange is None:  # unsolicited: the judge should see it as a second answer to the last request
             if self.last_exchange:
                 self.pool.on_unexpected_response(self.last_exchange, status, body)
             return self.abort()
@@ -147,7 +145,7 @@
 
     def eof_received(self) -> None:
         if self.exchange and self.status >= 200 and not self.has_length and not self._was_reset():
-            self._complete(False)  # an answer that its connection's end ends
+            self._complete(False)  # the response body is delimited by the end of the connection
         else:
             self._fail("reset" if self._was_reset() else "closed")
 
@@ -155,8 +153,8 @@
         self._fail("closed" if exc is None else "reset")
 
     def _was_reset(self) -> bool:
-        """Whether the peer closed with our bytes unread: then a reset has come right behind the end, which
-        alone would only say that it closed."""
+        """Whether the peer closed the connection with unread data from us. An RST then follows the FIN
+        immediately; the FIN alone only shows that the peer closed."""
         assert self.transport
         sock = self.transport.get_extra_info("socket")
         return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_STATE_CLOSE)
@@ -169,7 +167,8 @@
             return
         if not unread or exchange.resent:
             return exchange.finish(reason)
-        # Guards against calling lost what the proxy never read, as it closed a connection that rested.
+        # The proxy closed an idle connection and never read the request, so the request is not lost: it is
+        # sent again.
         exchange.resent = True
         exchange.sent_at = 0
         exchange.connection = None
@@ -182,7 +181,8 @@
 
 
 class ConnectionPool:
-    """Connections of one caller to one proxy. `surplus` hears of answers that nobody asked for."""
+    """Connections of one caller to one proxy. `on_unexpected_response` is called for responses that no
+    request is waiting for."""
 
     def __init__(
         self,
@@ -204,7 +204,7 @@
         return len(self.connections) + len(self.connecting)
 
     def send(self, exchange: Exchange) -> None:
-        """On the connection that rested last, or on a new one."""
+        """Sends on the most recently released connection, or on a new one."""
         exchange.pool = self
         if self.idle:
             self.idle.pop().send(exchange)
@@ -228,7 +228,7 @@
             return exchange.finish("never came up")
         except OSError as problem:
             return exchange.finish(f"no connection: {problem.strerror}")
-        if exchange.finished:  # given up meanwhile
+        if exchange.finished:  # cancelled in the meantime
             self.release(connection)
         elif connection.transport is None or connection.transport.is_closing():
             exchange.finish("reset")
@@ -244,7 +244,7 @@
             self.idle.remove(connection)
 
     def close(self) -> None:
-        """Breaks all connections off; what is on them is not told its end."""
+        """Aborts all connections without finishing the exchanges on them."""
         for task, exchange in list(self.connecting.items()):
             exchange.finished = True
             task.cancel()
@@ -255,7 +255,7 @@
 
 
 def parse_retry_after_us(value: bytes) -> int:
-    """A Retry-After in microseconds, 0 where it is none."""
+    """Parses a Retry-After header into microseconds; 0 if it is not valid."""
     try:
         wait = float(value)
     except ValueError:
@@ -264,10 +264,10 @@
 
 
 def request_id_of(data: bytes) -> str:
-    """The id under which a request was written."""
+    """Returns the request id of an encoded request."""
     return data.partition(b"X-Request-ID: ")[2].partition(b"\r\n")[0].decode()
 
 
 def token_from_body(body: bytes) -> str:
-    """What a body says of who made it."""
+    """Returns the token in a response body, which identifies the node and the attempt that produced it."""
     return body[:MAX_TOKEN_BYTES].decode("latin-1")
--- a/slatelab/live/clock.py
+++ b/slatelab/live/clock.py
@@ -1,6 +1,6 @@
-"""Time in the emulating processes: one clock for all of them, and calls at exact times. It owns the kernel's
-timer descriptor; the event loop's own timers go by whole milliseconds, which is too coarse for work of a few.
-It must never block, and knows nothing of what it calls."""
+"""Time in the emulating processes: one clock shared by all of them, and calls at exact times. It uses a
+timerfd because the event loop's own timers have a resolution of a millisecond, which is too coarse for
+work of a few milliseconds. Nothing here blocks."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 
 NONBLOCK_CLOEXEC = os.O_NONBLOCK | os.O_CLOEXEC
-TFD_TIMER_ABSTIME = 1  # TFD_TIMER_ABSTIME
+TFD_TIMER_ABSTIME = 1  # from sys/timerfd.h
 
 
 def monotonic_us() -> int:
-    """CLOCK_MONOTONIC in microseconds: the same in all processes of the machine."""
+    """CLOCK_MONOTONIC in microseconds, the same in all processes of the machine."""
     return time.monotonic_ns() // 1000
 
 
@@ -28,7 +28,7 @@
 
 
 class ScheduledCall:
-    """One call to come. `cancel` takes it back."""
+    """A scheduled call. `cancel` revokes it."""
 
     __slots__ = ("call", "due")
 
@@ -41,7 +41,8 @@
 
 
 class Clock:
-    """Microseconds since `base` (itself of CLOCK_MONOTONIC), and calls at given times, in their order."""
+    """Microseconds since `base` (a CLOCK_MONOTONIC time), and calls at given times, in the order of those
+    times."""
 
     def __init__(self, loop: AbstractEventLoop, base: int) -> None:
         self.base = base
@@ -58,7 +59,8 @@
         return time.monotonic_ns() // 1000 - self.base
 
     def call_at(self, due: int, call: Callable[[], None]) -> ScheduledCall:
-        """Calls at `due`, never earlier; what is past is called as soon as the loop is free."""
+        """Schedules a call at `due`, never earlier. If `due` has passed, the call is made as soon as the loop
+        is free."""
         scheduled = ScheduledCall(due, call)
         self._count += 1
         heapq.heappush(self._heap, (due, self._count, scheduled))
@@ -67,7 +69,7 @@
         return scheduled
 
     def rebase(self, by: int) -> None:
-        """Counts from `by` later on; only while no call is to come."""
+        """Moves the origin forward by `by` microseconds. Only allowed while no call is scheduled."""
         assert not self._heap
         self.base += by
 
@@ -78,7 +80,7 @@
 
     def _arm(self, due: int) -> None:
         self._armed = due
-        at = max(1, due + self.base)  # 0 would disarm it
+        at = max(1, due + self.base)  # a time of 0 would disarm the timer
         spec = _TimerSpec(0, 0, at // 1_000_000, at % 1_000_000 * 1000)
         if _libc.timerfd_settime(self._fd, TFD_TIMER_ABSTIME, ctypes.byref(spec), None):
             raise OSError(ctypes.get_errno(), "timerfd_settime")
@@ -87,10 +89,10 @@
         try:
             os.read(self._fd, 8)
         except BlockingIOError:
-            return  # it was armed anew for later while this call was on its way
+            return  # the timer was re-armed for a later time before this callback ran
         self._armed = 0
         heap = self._heap
-        limit = self._count  # what is added by those called here waits for the next turn of the loop
+        limit = self._count  # calls scheduled by these callbacks wait for the next turn of the loop
         while heap and heap[0][0] <= self.now() and heap[0][1] <= limit:
             call = heapq.heappop(heap)[2].call
             if call:
--- a/slatelab/live/control_channel.py
+++ b/slatelab/live/control_channel.py
@@ -1,9 +1,9 @@
-"""The line between the lab and each of its emulating processes: one JSON object a line, both ways, over a
-socket pair. It owns both ends, and in the emulating process also what every part of it shares: the loop, the
-clock, the facts and the sampler of stalls. It must never carry a request of the day.
+"""Control channel between the lab and each emulating process: one JSON object per line in both directions,
+over a socket pair. Also holds what all parts of an emulating process share: the event loop, the clock, the
+fact writer and the stall sampler. Requests of the scenario never travel over this channel.
 
-The lab says `do`: go (at), change (n), start (place), set, front, stop. A process says `say`: ready, up,
-down, drains, tick, over, invalid (text), done."""
+Messages from the lab carry `do`: go (at), change (n), start (place), set, front, stop. Messages from a
+process carry `say`: ready, up, down, drains, tick, over, invalid (text), done."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from .facts import FactWriter
 
 STALL_SAMPLE_US = 20_000
-MIN_STALL_US = 5_000  # what a sampler tells of
-MAX_UNSENT_BYTES = 1024 * 1024  # bytes that the lab has not yet read: then ticks are left out
-SEND_TIMEOUT_S = 10.0  # for the other side to take a message
+MIN_STALL_US = 5_000  # shorter stalls are not reported
+MAX_UNSENT_BYTES = 1024 * 1024  # unread by the lab; above this limit ticks are skipped
+SEND_TIMEOUT_S = 10.0  # time for the other side to accept a message
 
 Message = dict[str, Any]
 
 
 class LineDecoder:
-    """Splits what comes into messages."""
+    """Splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -45,7 +45,7 @@
 
 
 class LabChannel:
-    """The lab's end."""
+    """The lab's end of the channel."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(SEND_TIMEOUT_S)
@@ -53,11 +53,11 @@
         self._lines = LineDecoder()
 
     def send(self, command: str, **fields: Any) -> None:
-        """Raises OSError where the process is gone or does not listen."""
+        """Sends a message. Raises OSError if the process has ended or does not read."""
         self.sock.sendall(json.dumps({"do": command, **fields}).encode() + b"\n")
 
     def receive(self) -> list[Message] | None:
-        """What has come; None at the end."""
+        """Returns the messages that have arrived; None at the end of the stream."""
         data = self.sock.recv(1 << 16)
         return self._lines.feed(data) if data else None
 
@@ -67,8 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class JobContext:
-    """What each part is told: its name, `base` (CLOCK_MONOTONIC where the run's own time begins), where its
-    facts go."""
+    """Settings common to all parts: the name, `base` (the CLOCK_MONOTONIC time at which the run's own time
+    begins) and the path of the facts file."""
 
     name: str
     base: int
@@ -76,7 +76,7 @@
 
 
 class Part(Protocol):
-    """What an emulating process plays."""
+    """The part of the emulation that a process runs."""
 
     async def open(self) -> None: ...
 
@@ -95,8 +95,8 @@
 
 
 class HelperChannel(asyncio.Protocol):
-    """The emulating process's end, and what its part stands on. Facts are in `clock` time; a part that counts
-    from the day's first moment itself sets `by_day`."""
+    """The emulating process's end of the channel, with the services that its part uses. Facts carry `clock`
+    times; a part whose clock already counts from the start of the scenario sets `uses_day_time`."""
 
     def __init__(self, loop: AbstractEventLoop, context: JobContext) -> None:
         self.loop = loop
@@ -105,7 +105,7 @@
         self.facts = FactWriter(context.facts)
         self.uses_day_time = False
         self.part: Part | None = None
-        self.max_stall_us = 0  # stall seen
+        self.max_stall_us = 0  # longest stall observed
         self.ended: asyncio.Future[int] = loop.create_future()
         self._lines = LineDecoder()
         self._transport: Transport | None = None
@@ -118,14 +118,14 @@
             self._handle_message(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._finish(1)  # the lab is gone
+        self._finish(1)  # the lab has ended
 
     def send(self, kind: str, **fields: Any) -> None:
         assert self._transport
         self._transport.write(json.dumps({"say": kind, **fields}).encode() + b"\n")
 
     def report_invalid(self, text: str) -> None:
-        """The run cannot be trusted any more."""
+        """Reports that the results of the run are no longer valid."""
         self.send("invalid", text=text)
 
     def _handle_message(self, message: Message) -> None:
@@ -147,7 +147,8 @@
         self.loop.call_later(0.25, self._tick)
 
     def _sample(self, due: int) -> None:
-        """Guards against trusting times that a busy machine made late."""
+        """Records a Lagged fact when the loop was stalled, so that times distorted by a busy machine are not
+        taken as valid."""
 
         def check() -> None:
             now = self.clock.now()
@@ -171,7 +172,8 @@
             self.ended.set_result(code)
 
     def handle_exception(self, loop: AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception that nobody took: the process must not go on with half of its work undone."""
+        """Handles an uncaught exception by ending the process, which must not continue with its work partly
+        done."""
         problem = context.get("exception")
         loop.default_exception_handler(context)
         if not self.ended.done():
@@ -190,13 +192,13 @@
     channel.part = job.part(channel)
     await channel.part.open()
     gc.collect()
-    gc.freeze()  # what is loaded now stays: looking through it again and again would only cost pauses
+    gc.freeze()  # objects loaded so far are permanent; scanning them in each collection would only cause pauses
     channel.send("ready")
     return await channel.ended
 
 
 def main(fd: int, path: Path) -> None:
-    """An emulating process from beginning to end. It ends when the lab closes the line."""
+    """Runs an emulating process. It ends when the lab closes the channel."""
     import uvloop
 
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -1,6 +1,6 @@
-"""The process that is discovery: HTTP over the Registry, one address for each proxy, so that it is known who
-asks. It owns these sockets and what discovery has told to whom; what it tells, and when, is the
-Registry's."""
+"""The discovery process: HTTP over the Registry, with one address per proxy so that the asking proxy is
+known. This module holds the sockets and what each proxy was last told; the content and timing of responses
+are decided by the Registry."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryEndpoint:
-    """Where one proxy asks."""
+    """The address at which one proxy calls discovery."""
 
     proxy: str
     tier: int
@@ -48,8 +48,8 @@
     context: JobContext
     scenario: Scenario
     endpoints: list[DiscoveryEndpoint]
-    nodes: list[tuple[NodeSpec, str]]  # those that stand at the beginning, and their host:port
-    unix_us: int  # Unix time where the run's own time begins
+    nodes: list[tuple[NodeSpec, str]]  # nodes present at the start, with their host:port
+    unix_us: int  # Unix time at which the run's own time begins
     changes: list[FaultEvent]
 
     def part(self, channel: HelperChannel) -> Part:
@@ -57,7 +57,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A proxy's connection. `ticket` is the call now on it, 0: none."""
+    """A proxy's connection. `call_id` identifies the pending call; 0: none."""
 
     def __init__(
         self,
@@ -110,13 +110,13 @@
         self.job, self.channel = job, channel
         self.registry: Registry
         self.specs = {spec.id: spec for spec, _ in job.nodes}
-        self.calls: dict[int, DiscoveryConnection] = {}  # by ticket
-        self.last_listed: dict[str, set[str]] = {}  # by proxy: the nodes that it was told of last
+        self.calls: dict[int, DiscoveryConnection] = {}  # by call id
+        self.last_listed: dict[str, set[str]] = {}  # by proxy: the nodes listed in its last response
         self.call_ids = count(1)
         self._timer: ScheduledCall | None = None
 
     async def open(self) -> None:
-        now = self.channel.clock.now()  # one moment for all: so they stand from the beginning
+        now = self.channel.clock.now()  # one time for all nodes, so that all count as present from the start
         self.registry = Registry(self.job.scenario, now)
         for spec, where in self.job.nodes:
             self.registry.set_node(now, spec.id, "SERVING", spec.tier, where, 0)
@@ -137,7 +137,7 @@
     def _set_node(self, message: Message) -> None:
         spec = self.specs[message["place"]]
         node, since = message["node"], message["since"]
-        if node not in self.specs:  # it has taken the place of another
+        if node not in self.specs:  # a replacement for another node
             self.specs[node] = NodeSpec(node, spec.tier, spec.kind, spec.speed, spec.address)
         now = self.channel.clock.now()
         self.registry.set_node(now, node, message["phase"], spec.tier, message["where"], since)
@@ -164,7 +164,7 @@
         wait_ms = min(_number(query, "timeout_ms") or 0, MAX_WAIT_MS)
         connection.call_id = next(self.call_ids)
         self.calls[connection.call_id] = connection
-        if connection.endpoint.proxy:  # the lab itself asks aside
+        if connection.endpoint.proxy:  # the lab's own calls are not recorded
             self.channel.facts.add(Polled(now, connection.endpoint.proxy))
         self.registry.receive_call(
             now,
@@ -182,7 +182,7 @@
         connection.call_id = 0
 
     def _advance(self) -> None:
-        """Writes what is ready, and sets the time of the next."""
+        """Writes the responses that are ready and schedules the next call."""
         for answer in self.registry.advance(self.channel.clock.now()):
             if connection := self.calls.pop(answer.call_id, None):
                 connection.call_id = 0
@@ -207,7 +207,7 @@
             self._record(connection.endpoint.proxy, answer)
 
     def _record(self, proxy: str, answer: RegistryResponse) -> None:
-        """A node that a whole list leaves out has been told as gone."""
+        """Records what the proxy was told. A node that a complete list leaves out counts as reported deleted."""
         now, listed = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
         for entry in answer.entries:
             self.channel.facts.add(Told(now, proxy, entry.node, entry.phase, entry.started_at_us))
--- a/slatelab/live/emulated_node.py
+++ b/slatelab/live/emulated_node.py
@@ -1,6 +1,6 @@
-"""A place of the plant on real sockets: the node that stands there now and its visitors. It owns the facts
-that a node sees; what the node does is NodeSimulator's, and what befalls the place is told by the process that
-hosts it."""
+"""An emulated node on real sockets: the node now running at one location and its connections. This module
+records the facts that a node observes. The node's behaviour is decided by NodeSimulator; faults are
+applied by the process that hosts the node."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLocation:
-    """Where a place is on this machine. `proxy` is the node's own one to the next tier, "" where it has
-    none."""
+    """The addresses of a node location on this machine. `proxy` is the node's own proxy to the next tier, ""
+    if it has none."""
 
     spec: NodeSpec
     host: str
@@ -46,7 +46,7 @@
 
 @dataclass(eq=False, slots=True)
 class ActiveAttempt:
-    """An attempt on the node. Its visit is None once the caller has left."""
+    """An attempt in progress on the node. `connection` is None once the caller has disconnected."""
 
     call: NodeRequest
     tenant: str
@@ -55,9 +55,9 @@
 
 
 class EmulatedNode:
-    """`notify(say, ...)` hears of what the others must know: up, down, drains."""
+    """`notify(kind, ...)` reports what the other processes need: up, down, drains."""
 
-    keys = count(1)  # of the whole process: no two attempts have the same
+    keys = count(1)  # unique within the whole process
 
     def __init__(
         self,
@@ -79,9 +79,9 @@
         self.simulator: NodeSimulator | None = None
         self.condition: dict[str, Any] = {}
         self.isolated = self.draining = False
-        self.connections: dict[ServerConnection, None] = {}  # in the order in which they came
+        self.connections: dict[ServerConnection, None] = {}  # in order of arrival
         self.attempts: dict[int, ActiveAttempt] = {}
-        self.unread: list[tuple[ServerConnection, Request]] = []  # probes of a node that is frozen
+        self.unread: list[tuple[ServerConnection, Request]] = []  # probes received while the node is frozen
         self.downstream_calls = DownstreamCalls(
             channel,
             (location.proxy_host, location.port),
@@ -98,7 +98,7 @@
     # ------------------------------------------------------------ lives
 
     def start(self, cold: bool, condition: dict[str, Any], isolated: bool) -> None:
-        """A life begins; what lies on the place already lies on it too."""
+        """Starts a new life of the node; conditions already in effect at this location apply to it too."""
         now, spec = self.now(), self.spec
         rng = self.random_streams.stream("node", spec.id, self.life)
         self.simulator = NodeSimulator(self.scenario, spec, rng, now, self.life, cold)
@@ -115,7 +115,7 @@
         self.notify("up", node=spec.id, life=self.life, since=now if cold else 0)
 
     def restart(self, renewed: bool, condition: dict[str, Any], isolated: bool) -> None:
-        """Starts the node again, or another in its place, cold. Nothing if it is up."""
+        """Starts the node again, or a replacement at its location, cold. Does nothing if it is up."""
         if self.simulator is None:
             self.life += 1
             if renewed:
@@ -123,7 +123,7 @@
             self.start(True, condition, isolated)
 
     def crash(self, why: str) -> None:
-        """The process dies: connections are reset, new ones refused. Nothing if it is down."""
+        """The node's process dies: connections are reset, new ones refused. Does nothing if it is down."""
         if self.simulator is None:
             return
         self.channel.facts.add(Down(self.now(), self.spec.id, self.life, why))
@@ -134,7 +134,7 @@
         self.notify("down", node=self.spec.id, life=self.life, why=why)
 
     def close(self) -> None:
-        """The run is over: sockets are closed, nothing is recorded any more."""
+        """Closes the sockets at the end of the run; nothing is recorded any more."""
         self._close_connections()
         self.downstream_calls.close()
 
@@ -150,7 +150,7 @@
     # ------------------------------------------------------------ what befalls it
 
     def isolate(self) -> None:
-        """From now on nothing is read or answered, and no connection comes up."""
+        """Isolates the node: nothing is read or answered any more, and no new connection is established."""
         if self._listener and not self.isolated:
             self.isolated = True
             self._listener.isolate()
@@ -158,7 +158,7 @@
                 connection.stop_reading()
 
     def end_isolation(self) -> None:
-        """The machine is back: its old connections are reset."""
+        """Ends the isolation: connections opened before it are reset."""
         if self._listener and self.isolated:
             self.isolated = False
             for connection in list(self.connections):
@@ -166,7 +166,8 @@
             self._listener.end_isolation()
 
     def reset_some(self, share: float, name: str) -> None:
-        """Each open connection is reset with this chance; from a machine that is cut off nobody hears it."""
+        """Resets each open connection with probability `share`. While the node is isolated no reset would
+        reach the peer, so none is sent."""
         rng = self.random_streams.stream("reset", self.location.spec.id, name)
         for connection in [
             connection for connection in self.connections if rng.random() < share and not self.isolated
@@ -174,14 +175,14 @@
             connection.reset()
 
     def close_idle(self) -> None:
-        """What has stood idle for proxy.idle_close is closed."""
+        """Closes connections that were idle for longer than proxy.idle_close."""
         oldest = self.now() - self.scenario.proxy.idle_close
         for connection in [connection for connection in self.connections if not self.isolated]:
             if not connection.key and connection.idle_since < oldest:
                 connection.close()
 
     def set_condition(self, condition: dict[str, Any]) -> None:
-        """What lies on the node now, all of it: see NodeSimulator.set_conditions."""
+        """Sets all conditions of the node; see NodeSimulator.set_conditions."""
         self.condition = condition
         if self.simulator:
             self._apply_outputs(self.simulator.set_conditions(self.now(), **condition))
@@ -198,7 +199,7 @@
 
     @property
     def state(self) -> str:
-        """For the live table."""
+        """State of the node for the live table."""
         condition = self.condition
         states = (
             ("down", self.simulator is None),
@@ -218,7 +219,7 @@
             connection.closed = True
             return connection.reset()
         self.connections[connection] = None
-        if self.isolated:  # it was on its way in
+        if self.isolated:  # the connection was being accepted when the isolation began
             connection.stop_reading()
         self._schedule_advance()
 
@@ -229,7 +230,8 @@
         self.simulator.disconnect(self.now(), "")
         if attempt := self.attempts.get(connection.key):
             attempt.connection = None
-            # What has begun goes on to its reply; what waits does so only where nobody drops it.
+            # Work that has started runs to its reply. Waiting work is dropped only if the node drops
+            # cancelled requests.
             if self.spec.kind.drops_cancelled and not attempt.started:
                 del self.attempts[connection.key]
             self._apply_outputs(self.simulator.cancel(self.now(), connection.key))
@@ -244,7 +246,7 @@
         if self.simulator:
             self._apply_outputs(
                 self.simulator.advance(now)
-            )  # its own doings first, so that a reply is not late for this
+            )  # processes due events first, so that their replies are not delayed
         if self.simulator is None:
             return
         connection.key = call.key
@@ -257,7 +259,7 @@
         self._apply_outputs(outputs)
 
     def _parse_request(self, request: Request) -> NodeRequest | None:
-        """None for one that no caller of this day sends."""
+        """Converts the HTTP request; None if it was not sent by a caller of this run."""
         attrs, cls = request.attrs, self._classes.get(request.cls)
         if cls is None:
             return None
@@ -302,8 +304,8 @@
         self._schedule_advance()
 
     def _schedule_advance(self) -> None:
-        """One that comes too early only looks again; so a new one is set only where the time has come
-        nearer."""
+        """Schedules the next advance. An advance that comes too early has no effect, so the timer is replaced
+        only if the due time moved forward."""
         due = self.simulator.next_event_time() if self.simulator else None
         if due is not None and (self._timer is None or due < self._timer.due):
             self._cancel_timer()
@@ -331,11 +333,11 @@
         connection, call, spec = attempt.connection, attempt.call, self.spec
         connection.key = 0
         if self.isolated:
-            return  # written to nobody; the connection is reset once the machine is back
+            return  # no response is written while isolated; the connection is reset when the isolation ends
         extra = f"X-Server-Load: {self._load_report()}\r\n" + (
             "X-Not-Processed: 1\r\n" if output.turned else ""
         )
-        now = self.now()  # a stamp taken after the write may be later than the caller's
+        now = self.now()  # taken before the write: a later stamp could exceed the caller's receive time
         connection.answer(output.status, extra, output.token.encode())
         self.channel.facts.add(
             Replied(
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -1,6 +1,6 @@
-"""The emulating processes of a run, seen from the lab: the load generator, the nodes, discovery. It owns
-their start, the lines to them and the proof that each has handed over what it saw. It must never carry out a
-fault of the schedule, and never let a run go on when one of them has gone."""
+"""The emulating processes of a run, as the lab sees them: the load generator, the nodes and discovery. This
+module starts them, holds the channels to them and checks that each has handed over its facts. It applies
+no faults. If one of the processes ends early, the run fails."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from .supervisor import Child, ProcessSupervisor
 
 ROOT = Path(__file__).resolve().parents[2]
-REPORTED_STALL_US = 50_000  # from here on a stall is told to the reader
+REPORTED_STALL_US = 50_000  # longer stalls are mentioned in the notes of the result
 
 
 class Helper:
-    """One emulating process. `done` is what it said at its end, `tick` what it said last of its state."""
+    """One emulating process. `final_message` is its `done` message, `last_tick` its most recent tick."""
 
     def __init__(self, name: str, near: LabChannel, child: Child, facts: Path) -> None:
         self.name, self.channel, self.child, self.facts = name, near, child, facts
@@ -38,12 +38,13 @@
         self.last_tick: Message = {}
 
     def send(self, command: str, **fields: Any) -> None:
-        with suppress(OSError):  # its end is told by its process descriptor
+        with suppress(OSError):  # its end is reported through the process descriptor
             self.channel.send(command, **fields)
 
 
 class Emulation:
-    """`said(helper, say, message)` hears of what the day must know; `fail` of what makes it invalid."""
+    """`on_message(helper, kind, message)` receives the messages that concern the run; `on_failure` receives
+    errors that make it invalid."""
 
     def __init__(
         self,
@@ -64,7 +65,8 @@
     def start(
         self, plan: Plan, seed: int, folder: Path, base: int, unix_us: int, stall: tuple[int, int] | None
     ) -> None:
-        """`base`: where the run's own time begins, of CLOCK_MONOTONIC; `unix_us`: the same as Unix time."""
+        """`base`: CLOCK_MONOTONIC time at which the run's own time begins; `unix_us`: the same moment as Unix
+        time."""
         scenario, changes = plan.scenario, plan.changes
         nodes_at_start = [(site.spec, f"{site.host}:{site.port}") for site in plan.locations]
         endpoints = [*plan.discovery_endpoints.values(), *plan.lab_endpoints]
@@ -87,7 +89,7 @@
         path.write_bytes(pickle.dumps(job))
         lab_end, process_end = socket_pair()
         command = [sys.executable, "-m", "slatelab.live.helper", str(process_end.fileno()), str(path)]
-        env = {**os.environ, "PYTHONPATH": str(ROOT)}  # slatelab as the lab itself has it
+        env = {**os.environ, "PYTHONPATH": str(ROOT)}  # the same slatelab as the lab's own
         with process_end, (self.scratch / f"{name}.log").open("wb") as log:
             child = self.supervisor.start(
                 name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(process_end.fileno(),)
@@ -115,11 +117,11 @@
 
     @property
     def open_calls(self) -> int:
-        """Calls of nodes that were under way at the last tick."""
+        """Downstream calls of nodes that were in progress at the last tick."""
         return sum(helper.last_tick.get("open", 0) for helper in self.nodes)
 
     def stalls(self) -> list[str]:
-        """Lines for the reader of the result."""
+        """Notes on stalls for the reader of the result."""
         worst = {helper.name: (helper.final_message or {}).get("worst_us", 0) for helper in self.helpers}
         return [
             f"{name} stood still for up to {us / 1000:.0f} ms"
@@ -159,7 +161,7 @@
     def _process_exited(self, helper: Helper) -> None:
         self.loop.remove_reader(helper.child.pidfd)
         self.loop.remove_reader(helper.channel.sock)
-        while (messages := helper.channel.receive()) is not None:  # its last words come first
+        while (messages := helper.channel.receive()) is not None:  # messages still buffered are handled first
             for message in messages:
                 self._handle_message(helper, message)
         code = self.supervisor.reap(helper.child)
