--- a/slatelab/live/__init__.py
+++ b/slatelab/live/__init__.py
@@ -1,5 +1,5 @@
-"""The engine `live`: a scenario played with real proxy processes on 127.0.0.0/8; nodes, discovery and clients
-emulated."""
+"""The engine `live`: runs a scenario with real proxy processes on 127.0.0.0/8 and emulated nodes, discovery
+and clients."""
 
 from .run import run
 
--- a/slatelab/live/client_pool.py
+++ b/slatelab/live/client_pool.py
@@ -141,7 +141,7 @@
             self.abort()
         exchange.finish()
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ outcomes
 
     def eof_received(self) -> None:
         if self.exchange and self.status >= 200 and not self.has_length and not self._was_reset():
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -153,7 +153,7 @@
                 now, self.specs[change.targets[0]].tier, change.targets if change.is_start else ()
             )
 
-    # ------------------------------------------------------------ calls
+    # ------------------------------------------------------------ discovery calls
 
     def _handle_request(self, connection: DiscoveryConnection, url: str) -> None:
         parts = urlsplit(url)
@@ -220,7 +220,7 @@
     def _unix_ms(self, since_us: int) -> int:
         return (self.job.unix_us + since_us) // 1000 if since_us else 0
 
-    # ------------------------------------------------------------ the lab's questions
+    # ------------------------------------------------------------ requests from the lab
 
     def tick(self) -> None:
         return None
--- a/slatelab/live/downstream_calls.py
+++ b/slatelab/live/downstream_calls.py
@@ -1,5 +1,5 @@
-"""The calls of a node to the next tier, through the proxy of its own. It owns the connections to that proxy
-and what the node sees of each call as a caller; what the node makes of a call's end is told to its place."""
+"""A node's calls to the next tier through its own proxy. This module holds the connections to that proxy and
+records what the node observes of each call as a caller; the outcome is reported to the node."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from .clock import ScheduledCall
 from .control_channel import HelperChannel
 
-Key = tuple[int, int]  # the attempt and the index of the call for it
+Key = tuple[int, int]  # the attempt, and the index of the call made for it
 
 
 @dataclass(eq=False, slots=True)
 class PendingCall:
-    """A call under way."""
+    """A call in progress."""
 
     asked: Asked
     exchange: Exchange
@@ -29,8 +29,9 @@
 
 
 class DownstreamCalls:
-    """`returned(key, index, ok)` is told each call's end, unless all are given up. `slack` is how much longer
-    than it said the node waits, so that an answer on its way is not taken for none."""
+    """`returned(key, index, ok)` is called at the end of each call, unless all are cancelled. `slack` is how
+    much longer than its stated timeout the node waits, so that a response on its way is not taken for a
+    missing one."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         return len(self._pending)
 
     def send(self, call: DownstreamCall, asked: Asked, data: bytes) -> None:
-        """`asked` is what will have been seen once the call has been written."""
+        """Sends a call. `asked` is the fact recorded once the call has been written."""
         key = (call.key, call.index)
         exchange = Exchange(data, partial(self._ended, key))
         timer = self._channel.clock.call_at(call.until + self._slack, partial(self._timed_out, key))
@@ -55,13 +56,13 @@
         self._pool.send(exchange)
 
     def cancel_all(self) -> None:
-        """The node has died."""
+        """Cancels all calls because the node has died."""
         for key in list(self._pending):
             self._cancel(key)
         self._pool.close()
 
     def close(self) -> None:
-        """The run is over: nothing is recorded any more."""
+        """Closes the connections at the end of the run; nothing is recorded any more."""
         self._pool.close()
 
     def _ended(self, key: Key, exchange: Exchange) -> None:
--- a/slatelab/live/emulated_node.py
+++ b/slatelab/live/emulated_node.py
@@ -147,7 +147,7 @@
             connection.reset()
         self._cancel_timer()
 
-    # ------------------------------------------------------------ what befalls it
+    # ------------------------------------------------------------ faults
 
     def isolate(self) -> None:
         """Isolates the node: nothing is read or answered any more, and no new connection is established."""
@@ -212,7 +212,7 @@
         )
         return next((word for word, applies in states if applies), "warm")
 
-    # ------------------------------------------------------------ visits
+    # ------------------------------------------------------------ connections
 
     def connection_opened(self, connection: ServerConnection) -> None:
         if self.simulator is None or not self.simulator.connect(self.now(), ""):
@@ -289,7 +289,7 @@
             f"{name}={value:.4f}" for name, value in self.simulator.load_report(self.now()).items()
         )
 
-    # ------------------------------------------------------------ what the node does
+    # ------------------------------------------------------------ node behaviour
 
     def _apply_outputs(self, outputs: list[NodeOutput]) -> None:
         for output in outputs:
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -124,12 +124,12 @@
         """Notes on stalls for the reader of the result."""
         worst = {helper.name: (helper.final_message or {}).get("worst_us", 0) for helper in self.helpers}
         return [
-            f"{name} stood still for up to {us / 1000:.0f} ms"
+            f"{name} stalled for up to {us / 1000:.0f} ms"
             for name, us in worst.items()
             if us > REPORTED_STALL_US
         ]
 
-    # ------------------------------------------------------------ what they say
+    # ------------------------------------------------------------ messages from the processes
 
     def _guarded(self, call: Callable[[Helper], None], helper: Helper) -> None:
         try:
--- a/slatelab/live/facts.py
+++ b/slatelab/live/facts.py
@@ -1,6 +1,5 @@
-"""Facts on their way from an emulating process to the lab: into a file of the scratch folder, a batch at a
-time. It owns that file and the change from the process's own time to that of the day. It must never drop a
-fact silently."""
+"""Writes the facts of an emulating process to a file in the scratch folder, in batches, and converts their
+times from the process's own time to that of the scenario. No fact is dropped silently."""
 
 from __future__ import annotations
 
@@ -11,8 +10,8 @@
 
 from slatelab.records import Asked, Came, Fact, Told
 
-BATCH_FACTS = 256  # small, so that writing one never takes a millisecond
-MAX_FACTS = 5_000_000  # in one process; each is some 150 bytes
+BATCH_FACTS = 256  # small enough that writing a batch never takes a millisecond
+MAX_FACTS = 5_000_000  # in one process; each takes about 150 bytes
 OTHER_TIME_FIELDS: dict[type[Fact], tuple[str, ...]] = {
     Asked: ("intended", "until"),
     Came: ("first",),
@@ -21,11 +20,11 @@
 
 
 class TooManyFacts(Exception):
-    """The run has more to tell than the lab holds."""
+    """The run produces more facts than the lab holds."""
 
 
 class FactWriter:
-    """Keeps what comes before the day's first moment is known; from then on counts from it."""
+    """Buffers facts until the start of the scenario is known; from then on times count from it."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("wb", buffering=0)
@@ -35,7 +34,7 @@
         self.count = 0
 
     def add(self, fact: Fact) -> None:
-        """Raises TooMany."""
+        """Adds a fact. Raises TooManyFacts."""
         self._held.append(fact)
         self.count += 1
         if self.count > MAX_FACTS:
@@ -44,7 +43,7 @@
             self.flush()
 
     def begin(self, day_start: int) -> None:
-        """The day begins at `shift` of the facts' own time. What was before it counts as its first moment."""
+        """Sets the start of the scenario, in the facts' own time. Earlier times are recorded as 0."""
         self._day_start = day_start
 
     def flush(self) -> None:
--- a/slatelab/live/front.py
+++ b/slatelab/live/front.py
@@ -1,6 +1,6 @@
-"""The front layer before the first tier: hands out connections to the proxies in turn. It owns which proxies
-are in use and how many connections there are. It must never end a try, and never hold one back while a
-connection may be had."""
+"""The front layer before the first tier: distributes connections over the proxies in turn. It tracks which
+proxies are in use and how many connections are open. It never ends an attempt by itself, and never delays
+one while a connection is available."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyAddress:
-    """Where a proxy listens."""
+    """The listening address of a proxy."""
 
     proxy: str
     host: str
@@ -25,10 +25,11 @@
 
 @dataclass(eq=False, slots=True)
 class FrontRequest:
-    """A try on its way through the front. `write` gives the bytes for a proxy; `ended` hears the end."""
+    """An attempt on its way through the front layer. `write` returns the bytes to send to a proxy;
+    `on_finished` is called with the outcome."""
 
     write: Callable[[str], bytes]
-    on_finished: Callable[[Exchange | None], None]  # None: no proxy could be reached at all
+    on_finished: Callable[[Exchange | None], None]  # None: no proxy could be reached
     proxy: str = ""
     exchange: Exchange | None = None
     refused: list[str] = field(default_factory=list)  # proxies that could not be reached
@@ -41,9 +42,9 @@
 
 
 class Front:
-    """Proxies are in use from the start; `take` changes it. One that is taken out keeps the connections it
-    has until they close, as clients do. `most` connections are open at once; beyond them tries wait for
-    one."""
+    """All proxies are in use at the start; `set_in_use` changes it. A proxy taken out of use keeps its
+    connections until they close, as with real clients. At most `max_connections` are open at once; further
+    attempts wait for one."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         self.in_use[proxy] = in_use
 
     def send(self, request: FrontRequest) -> None:
-        """To the next proxy in turn, over an idle connection or a new one."""
+        """Sends the request to the next proxy in turn, over an idle connection or a new one."""
         proxy = self._choose(request)
         if proxy is None:
             request.finished = True
@@ -93,7 +94,8 @@
 
     def _ended(self, request: FrontRequest, exchange: Exchange) -> None:
         if not exchange.status and not exchange.sent_at:
-            # Nobody has heard it: the front tries the others at once, a dead proxy costs no more than that.
+            # The request was never sent: the other proxies are tried at once, so a dead proxy causes no
+            # further delay.
             request.refused.append(request.proxy)
             return self.send(request)
         request.finished = True
@@ -101,14 +103,14 @@
         self._send_next()
 
     def _send_next(self) -> None:
-        """A connection is free: the one that has waited longest goes on."""
+        """A connection became available: sends the request that has waited longest."""
         while self.waiting:
             request = self.waiting.popleft()
             if not request.finished:
                 return self.send(request)
 
     def connection_freed(self) -> None:
-        """A try was given up, and its connection with it."""
+        """Called after an attempt was cancelled and its connection closed."""
         self._send_next()
 
     def close(self) -> None:
--- a/slatelab/live/helper.py
+++ b/slatelab/live/helper.py
@@ -1,4 +1,4 @@
-"""Entry of an emulating process: `python -m slatelab.live.helper DESCRIPTOR JOB`. It owns nothing."""
+"""Entry point of an emulating process: `python -m slatelab.live.helper DESCRIPTOR JOB`."""
 
 import sys
 from pathlib import Path
--- a/slatelab/live/load.py
+++ b/slatelab/live/load.py
@@ -1,7 +1,7 @@
-"""The load generator: sends each order at its time, whatever became of those before, and each further try as
-its client would. It owns tries and what callers see of them. It must never wait for one try before it sends
-another: latency counts from the intended time (open loop), so a stalled proxy cannot slow down what is asked
-of it."""
+"""The load generator: sends each order at its scheduled time, whatever happened to earlier ones, and each
+retry as its client would. It holds the attempts and records what callers see of them. It never waits for
+one attempt before sending another: latency counts from the intended time (open loop), so a stalled proxy
+cannot slow down the offered load."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from .schedule_lag import ScheduleLag
 from .wire import request_bytes
 
-MAX_LATENCIES_PER_TICK = 2000  # in one tick
+MAX_LATENCIES_PER_TICK = 2000  # latencies in one tick
 
 
 @dataclass(frozen=True, slots=True)
 class LoadJob:
-    """`stall`: at which microsecond of the day the generator is to stand still and for how long, for
+    """`stall`: the time in the scenario at which the generator stops and for how long, in microseconds; for
     tests."""
 
     context: JobContext
@@ -65,11 +65,15 @@
         self.orders: list[Order] = []
         self.schedule_lag = ScheduleLag()
         self.front = Front(
-            channel.loop, channel.clock.now, job.proxy_addresses, job.scenario.clients.connections, self._unexpected_response,
+            channel.loop,
+            channel.clock.now,
+            job.proxy_addresses,
+            job.scenario.clients.connections,
+            self._unexpected_response,
             job.scenario.tiers[0].skew,
-        )  # fmt: skip
-        self.orders_sent = 0  # orders sent so far
-        self.pending_attempts = 0  # tries under way, and those still to come of orders begun
+        )
+        self.orders_sent = 0  # orders whose first attempt was sent
+        self.pending_attempts = 0  # attempts in progress, and later ones of orders already started
         self.counts = {"served": 0, "refused": 0, "failed": 0}
         self.latencies: list[int] = []
         self.end_reported = False
@@ -108,7 +112,8 @@
         client_attempt = ClientAttempt(
             order, attempt, intended, client.attempt_timeout_at(self.scenario, order, intended)
         )
-        # A little longer than it says: an answer that is on its way must not be taken for none.
+        # Waits slightly longer than the stated timeout, so that a response already on its way is not taken
+        # for a missing one.
         give_up_at = client_attempt.until + self.scenario.rules.answer_slack
         client_attempt.timer = self.channel.clock.call_at(give_up_at, partial(self._give_up, client_attempt))
         client_attempt.front_request = FrontRequest(
@@ -135,7 +140,7 @@
     def _tenant(self, order: Order) -> str:
         return self.scenario.tenants[order.tenant].name if self.scenario.tenants else ""
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ outcomes
 
     def _ended(self, client_attempt: ClientAttempt, exchange: Exchange | None) -> None:
         now, request = self.channel.clock.now(), client_attempt.request
@@ -168,9 +173,17 @@
             return
         order, cls = client_attempt.order, self.scenario.classes[client_attempt.order.cls].name
         asked = Asked(
-            exchange.sent_at, client_attempt.request, client_attempt.attempt, f"c{order.number}", client_attempt.front_request.proxy, 0, cls,
-            self._tenant(order), client_attempt.intended, client_attempt.until,
-        )  # fmt: skip
+            exchange.sent_at,
+            client_attempt.request,
+            client_attempt.attempt,
+            f"c{order.number}",
+            client_attempt.front_request.proxy,
+            0,
+            cls,
+            self._tenant(order),
+            client_attempt.intended,
+            client_attempt.until,
+        )
         self.channel.facts.add(asked)
 
     def _after_attempt(
@@ -194,7 +207,7 @@
         self._report_if_done()
 
     def _unexpected_response(self, last: Exchange, status: int, body: bytes) -> None:
-        """An answer that nobody asked for: the judge takes it for a second one to the last request."""
+        """Records an unsolicited response; the judge takes it for a second answer to the last request."""
         token = token_from_body(body)
         self.channel.facts.add(Answered(self.channel.clock.now(), request_id_of(last.data), status, token))
 
@@ -203,7 +216,7 @@
             self.end_reported = True
             self.channel.send("over")
 
-    # ------------------------------------------------------------ the lab's questions
+    # ------------------------------------------------------------ requests from the lab
 
     def tick(self) -> Message:
         latencies, self.latencies = self.latencies, []
--- a/slatelab/live/logs.py
+++ b/slatelab/live/logs.py
@@ -1,6 +1,6 @@
-"""Lines of a proxy's log as facts. It owns their three forms: JSON objects and logfmt, both with time, level,
-topic, msg and further fields, and `slatehub: topic: text`. Pure, and never raises: a line in no known form is
-text."""
+"""Parses lines of a proxy's log into facts. Three forms are known: JSON objects and logfmt, both with time,
+level, topic, msg and further fields, and `slatehub: topic: text`. Pure, and never raises: a line in no
+known form is returned as text."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def parse(line: str) -> LogLine:
-    """One line, without its end. `level` is "" where the line does not say."""
+    """Parses one line without its newline. `level` is "" if the line does not state one."""
     line = line[:MAX_LINE_CHARS]
     if (fields := _json(line) or _logfmt(line)) is not None:
         for key in TIME_FIELDS:
@@ -51,7 +51,8 @@
 
 
 def _logfmt(line: str) -> dict[str, str] | None:
-    """Whole lines of key=value only, among them `msg` or `level`: a sentence with a "=" in it is none."""
+    """Only accepts lines that consist entirely of key=value pairs including `msg` or `level`, so that a
+    sentence containing "=" is not parsed."""
     fields, at = {}, 0
     while at < len(line):
         match = PAIR.match(line, at)
--- a/slatelab/live/node_listener.py
+++ b/slatelab/live/node_listener.py
@@ -1,5 +1,5 @@
-"""The listener of a node. It owns the door and what makes a machine vanish behind it: a queue that is kept
-full. It must never look at what comes through."""
+"""The listening socket of a node, and the emulation of an unreachable machine by keeping the accept queue
+full. The content of connections is not examined here."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .addresses import listener
 from .server_connection import LINGER_0, ServerConnection
 
-MAX_ACCEPTS_PER_TURN = 64  # connections accepted before others get their turn
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted before the loop handles other events
 BACKLOG = 4096
 
 
 class NodeListener:
-    """Open from the start; `visit` makes the protocol of each connection. Raises OSError where it cannot
-    listen."""
+    """Listens from the start; `make_connection` creates the protocol of each connection. Raises OSError if it
+    cannot listen."""
 
     def __init__(
         self, loop: AbstractEventLoop, host: str, port: int, make_connection: Callable[[], ServerConnection]
@@ -28,17 +28,17 @@
         self._loop.add_reader(self._socket, self._accept)
 
     def close(self) -> None:
-        """From now on connections are refused."""
+        """Closes the listener: new connections are refused."""
         self._loop.remove_reader(self._socket)
         self._socket.close()
         self._close_fillers()
 
     def isolate(self) -> None:
-        """No connection comes up: the kernel drops who knocks at a listener whose queue is full, and it is
-        filled here with connections of our own."""
+        """Prevents new connections. The kernel drops SYNs to a listener whose accept queue is full, so the
+        queue is filled with connections of our own."""
         self._loop.remove_reader(self._socket)
         self._socket.listen(0)
-        for _ in range(2):  # Linux queues one more than the backlog says
+        for _ in range(2):  # Linux queues one connection more than the backlog
             sock = socket.socket()
             sock.setblocking(False)
             with suppress(BlockingIOError):
@@ -46,7 +46,7 @@
             self._fillers.append(sock)
 
     def end_isolation(self) -> None:
-        """Who got into the queue meanwhile is reset."""
+        """Accepts connections again. Those that entered the queue in the meantime are reset."""
         self._close_fillers()
         for sock in self._queued_sockets():
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
@@ -67,7 +67,7 @@
         try:
             await self._loop.connect_accepted_socket(self._make_connection, sock)
         except OSError:
-            sock.close()  # it has left already
+            sock.close()  # the peer has already disconnected
 
     def _queued_sockets(self) -> Iterator[socket.socket]:
         with suppress(OSError):
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -1,5 +1,5 @@
-"""The process that hosts nodes: it tells its places what befalls them, as the lab says. It owns the way from
-the lab's messages to the places, and nothing of what a node does."""
+"""The process that hosts emulated nodes: it applies faults to them as the lab directs. This module passes the
+lab's messages on to the nodes; the behaviour of a node is implemented elsewhere."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     scenario: Scenario
     seed: int
     locations: list[NodeLocation]
-    changes: list[FaultEvent]  # of the whole day; the lab says by number when one is due
+    changes: list[FaultEvent]  # of the whole run; the lab sends the index of each change when it is due
 
     def part(self, channel: HelperChannel) -> Part:
         return NodeHost(self, channel)
--- a/slatelab/live/peer_network.py
+++ b/slatelab/live/peer_network.py
@@ -1,5 +1,5 @@
-"""The net between the real proxies of a run: the relay, the key and each proxy's table `[fleet]`. It owns all three. It
-must never be there where the scenario's proxies do not know each other."""
+"""The network between the real proxies of a run: the UDP relay, the key file and each proxy's `[fleet]`
+table. Only used if the proxies of the scenario know each other."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 
 class LivePeerNetwork:
-    """`rng` draws what becomes of each datagram; which one meets which draw is chance on real sockets."""
+    """`rng` decides the fate of each datagram. Results are not reproducible, as the order of datagrams on
+    real sockets varies."""
 
     def __init__(self, scenario: Scenario, proxies: list[ProxySpec], rng: Random, scratch: Path) -> None:
         self.terms, self.proxies = scenario.fleet, proxies
@@ -31,7 +32,7 @@
         self.relay = Relay(self.net, [proxy.name for proxy in proxies])
 
     def fleet_table(self, proxy: ProxySpec) -> str:
-        """Its part of the operator's file."""
+        """The proxy's `[fleet]` table of the operator's file."""
         tier = [other.name for other in self.proxies if other.tier == proxy.tier]
         seeds = [_host_port(self.relay.advertised_address(name)) for name in tier[:MAX_SEEDS]]
         rows = {
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -1,6 +1,5 @@
-"""What stands where in a run: nodes, proxies and discovery at addresses of this machine, and the day's
-changes. It owns the layout, made once, and the way a proxy's file is written. It must never start
-anything."""
+"""The layout of a run: nodes, proxies and discovery at addresses of this machine, and the fault schedule. The
+layout is made once. Also writes the proxies' configuration files; starts no process."""
 
 from __future__ import annotations
 
@@ -23,11 +22,11 @@
 from .emulated_node import NodeLocation
 from .front import ProxyAddress
 
-MAX_PROXIES = 300  # processes of some 30 MB each
+MAX_PROXIES = 300  # each process takes about 30 MB
 NODES_PER_PROCESS, REQUESTS_PER_S_PER_PROCESS = (
     40,
     1500,
-)  # nodes, and requests a second, for one emulating process
+)  # limits for one emulating process
 
 
 @dataclass(slots=True)
@@ -39,20 +38,22 @@
     changes: list[FaultEvent]
     proxy_addresses: dict[str, ProxyAddress]  # by proxy
     discovery_endpoints: dict[str, DiscoveryEndpoint]  # by proxy
-    lab_endpoints: list[DiscoveryEndpoint]  # by tier: where the lab itself asks, unrecorded
+    lab_endpoints: list[
+        DiscoveryEndpoint
+    ]  # by tier: where the lab itself calls; these calls are not recorded
     locations: list[NodeLocation]
     operator_tables: dict[str, str] = field(
         default_factory=dict
-    )  # of the operator's file, beside the usual ones; by proxy
+    )  # additional tables of the operator's file; by proxy
 
     def node_address(self, node_id: str) -> str:
-        """host:port of a place."""
+        """host:port of a node location."""
         return next(
             f"{location.host}:{location.port}" for location in self.locations if location.spec.id == node_id
         )
 
     def members(self, tier: int) -> list[dict[str, Any]]:
-        """The nodes of a tier as they stand at the beginning."""
+        """The discovery entries of a tier's nodes at the start."""
         return [
             settings.member_entry(location.spec, f"{location.host}:{location.port}", "SERVING", 0)
             for location in self.locations
@@ -60,7 +61,7 @@
         ]
 
     def locations_by_process(self) -> list[list[NodeLocation]]:
-        """The places, dealt out to as many processes as they need."""
+        """Distributes the node locations over as many processes as they need."""
         count = min(
             _max_processes(),
             max(
@@ -71,7 +72,7 @@
         return [self.locations[i::count] for i in range(min(count, len(self.locations)))]
 
     def operator_config(self, proxy: ProxySpec) -> str:
-        """The operator's file of a proxy; "" where all is as usual."""
+        """The operator's file of a proxy; "" if all settings have their defaults."""
         defaults = type(self.scenario.proxy.storms)()
         changed = self.scenario.proxy.storms.model_dump().items() - defaults.model_dump().items()
         storms = (
@@ -80,7 +81,8 @@
         return storms + self.operator_tables.get(proxy.name, "")
 
     def write_config(self, path: Path, proxy: ProxySpec, members: list[dict[str, Any]], life: int) -> None:
-        """Put in place whole, as a proxy may read it at any moment. Each life has a seed of its own."""
+        """Writes a proxy's configuration file. The file is replaced atomically, as a proxy may read it at any
+        time. Each life of a proxy has its own seed."""
         address, endpoint = self.proxy_addresses[proxy.name], self.discovery_endpoints[proxy.name]
         seed = f"{self.random_streams.stream('proxy', proxy.name, life).getrandbits(64):016x}"
         listen, discovery = f"{address.host}:{address.port}", f"{endpoint.host}:{endpoint.port}"
@@ -91,7 +93,7 @@
 
 
 def make_plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
-    """Raises ScenarioError, and InvalidRunError where this machine cannot hold it."""
+    """Lays out a run. Raises ScenarioError, and InvalidRunError if this machine cannot hold it."""
     if scenario.proxy.kind != "slatehub":
         raise InvalidRunError(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
     random_streams = RandomStreams(seed)
@@ -137,7 +139,7 @@
 
 
 def _total_request_rate(scenario: Scenario) -> float:
-    """Requests a second at all nodes together, roughly."""
+    """Approximate requests per second at all nodes together."""
     orders = sum(max(stream.rate, stream.to_rate) for stream in scenario.arrivals)
     calls = [prod(tier.calls for tier in scenario.tiers[:t]) for t in range(len(scenario.tiers))]
     return max(1.0, orders * sum(calls))
--- a/slatelab/live/proxy_processes.py
+++ b/slatelab/live/proxy_processes.py
@@ -1,6 +1,6 @@
-"""The proxies of a run as processes: started, asked whether they are ready, told to end, killed, and their
-logs read. It owns these processes' lives and the facts about them. It must never decide when one is to end,
-nor look at a request."""
+"""The proxy processes of a run: started, polled for readiness, stopped, killed, and their logs read. This
+module records the facts about them. When a proxy is to end is decided elsewhere; requests are not examined
+here."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.05
-CRASH_NOTICE_S = 1.0  # until the front notices that a proxy has died
-STOP_NOTICE_S = 0.3  # after SIGTERM, until the front sends no new connection
-MAX_LOG_FACTS = 200_000  # of all logs of a run, as facts
-MAX_LOG_BYTES = 64 * 1024 * 1024  # of one log file
-LAST_LINES = 5  # last lines, for messages
+CRASH_NOTICE_S = 1.0  # delay after which the front layer notices that a proxy has died
+STOP_NOTICE_S = 0.3  # delay after SIGTERM until the front layer sends no new connection
+MAX_LOG_FACTS = 200_000  # log lines of a whole run recorded as facts
+MAX_LOG_BYTES = 64 * 1024 * 1024  # size of one log file
+LAST_LINES = 5  # last lines kept for error messages
 
 
 class ProxyProcess:
-    """One proxy over all its lives. `state`: down, starting, up, stopping. `ends_as`: how the process now
-    running is to end ("": not at all), so that any other end is a crash."""
+    """One proxy over all its lives. `state`: down, starting, up, stopping. `expected_end`: how the running
+    process is meant to end ("": not at all); any other end is a crash."""
 
     def __init__(self, fleet: ProxyFleet, spec: ProxySpec) -> None:
         self.fleet, self.spec, self.name = fleet, spec, spec.name
@@ -53,8 +53,8 @@
     # ------------------------------------------------------------ lives
 
     async def start(self) -> None:
-        """Starts it with the nodes that discovery shows now; one that still runs is started again once it has
-        ended."""
+        """Starts the proxy with the nodes that discovery lists now. A proxy that is still stopping is started
+        again once it has ended."""
         if self.child:
             self.restart_wanted = self.state == "stopping"
             return
@@ -89,7 +89,7 @@
         }
         if own := fleet.plan.operator_config(
             self.spec
-        ):  # an older tree does not know the variable, and goes on without
+        ):  # an older revision ignores this variable and runs without it
             env["SLATEHUB_OPERATOR"] = str(self.config.with_suffix(".toml"))
             self.config.with_suffix(".toml").write_text(own)
         reading, writing = os.pipe()
@@ -107,7 +107,7 @@
         fleet.spawn(self._poll_ready(self.life))
 
     async def _poll_ready(self, life: int) -> None:
-        """Asks until it is ready."""
+        """Polls until the proxy is ready."""
         address = self.fleet.plan.proxy_addresses[self.name]
         while self.life == life and self.state == "starting":
             status, _ = await fetch(address.host, address.port, "/ready")
@@ -119,9 +119,9 @@
             await asyncio.sleep(READY_POLL_S)
 
     def kill(self) -> None:
-        """SIGKILL; nothing if it is down."""
+        """Sends SIGKILL; does nothing if it is down."""
         if self.child is None:
-            self.life += 1  # one that is about to be launched is not
+            self.life += 1  # prevents a launch that is already pending
             self.state = "down"
             self.exited.set()
             return
@@ -132,12 +132,12 @@
         self._leave_front(CRASH_NOTICE_S)
 
     def freeze(self, begins: bool) -> None:
-        """SIGSTOP or SIGCONT; nothing if it is down."""
+        """Sends SIGSTOP or SIGCONT; does nothing if it is down."""
         if self.child:
             self.fleet.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
 
     def stop(self) -> None:
-        """SIGTERM; nothing if it is down or stopping."""
+        """Sends SIGTERM; does nothing if it is down or stopping."""
         if self.child is None or self.state == "stopping":
             return
         self._record_down("planned")
@@ -147,12 +147,12 @@
         self._leave_front(STOP_NOTICE_S)
 
     def stop_now(self) -> None:
-        """SIGKILL to one that has been told to stop and has not."""
+        """Sends SIGKILL if the proxy was told to stop and still runs."""
         if self.child and self.state == "stopping":
             self.kill()
 
     async def reload(self) -> None:
-        """Its file written anew with the nodes that discovery shows now, then SIGHUP."""
+        """Rewrites the configuration with the nodes that discovery lists now, then sends SIGHUP."""
         members = await self.fleet.members(self.spec.tier)
         if self.child and self.state == "up":
             self.fleet.plan.write_config(self.config, self.spec, members, self.life)
@@ -187,14 +187,14 @@
 
     def _crashed(self, code: int) -> None:
         self._record_down("crashed")
-        said = f", its last words: {' | '.join(self.last_lines)}" if self.last_lines else ""
+        said = f", last log lines: {' | '.join(self.last_lines)}" if self.last_lines else ""
         text = f"{self.name} ended by itself with code {code}{said}"
         if not self.fleet.all_were_ready:
             raise InvalidRunError(f"{text}; it was never ready")
         self.fleet.notes.append(text)
         self._leave_front(CRASH_NOTICE_S)
 
-    # ------------------------------------------------------------ its log
+    # ------------------------------------------------------------ log output
 
     def _read(self, fd: int, log: IO[bytes]) -> None:
         try:
@@ -221,8 +221,8 @@
 
 
 class ProxyFleet:
-    """All proxies. `front` is told which of the first tier are in use; `add` takes facts in the run's own
-    time."""
+    """All proxies. `front` is called when a first-tier proxy enters or leaves use; `add` takes facts in the
+    run's own time."""
 
     def __init__(
         self,
@@ -249,11 +249,11 @@
         self.log_lines = 0
         self.proxies = {spec.name: ProxyProcess(self, spec) for spec in plan.proxies}
         self.owned = {spec.owner_node: self.proxies[spec.name] for spec in plan.proxies if spec.owner_node}
-        self.all_were_ready = False  # all have been ready once
+        self.all_were_ready = False  # every proxy has been ready once
         self.known_members = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
 
     async def members(self, tier: int) -> list[dict[str, Any]]:
-        """The nodes of a tier as discovery shows them now, or as it did when it last answered."""
+        """The nodes of a tier as discovery lists them now, or as in its last successful response."""
         endpoint = self.plan.lab_endpoints[tier]
         status, body = await fetch(endpoint.host, endpoint.port, "/v1/endpoints")
         if status == 200:
@@ -261,7 +261,7 @@
         return self.known_members[tier]
 
     async def start_all(self) -> None:
-        """Tier by tier from the last, so that nobody calls whoever is not there yet."""
+        """Starts the proxies tier by tier from the last, so that no proxy calls one that has not started."""
         for tier in reversed(range(len(self.plan.scenario.tiers))):
             proxies = [proxy for proxy in self.proxies.values() if proxy.spec.tier == tier]
             for proxy in proxies:
@@ -271,14 +271,12 @@
         self.all_were_ready = True
 
     def not_ready_summary(self) -> str:
-        """What those say that are not ready."""
+        """The last log line of proxies that are not ready, for error messages."""
         late = [proxy for proxy in self.proxies.values() if proxy.state == "starting"]
-        return "".join(
-            f"; {p.name}: {p.last_lines[-1] if p.last_lines else 'says nothing'}" for p in late[:3]
-        )
+        return "".join(f"; {p.name}: {p.last_lines[-1] if p.last_lines else 'no output'}" for p in late[:3])
 
     async def stop_all(self, patience_s: float) -> None:
-        """SIGTERM to all, and SIGKILL to those that take longer than they may."""
+        """Sends SIGTERM to all, and SIGKILL to those that have not ended within `patience_s`."""
         for proxy in self.proxies.values():
             proxy.restart_wanted = False
             proxy.stop()
@@ -290,7 +288,7 @@
 
 
 async def fetch(host: str, port: int, path: str, within_s: float = 1.0) -> tuple[int, bytes]:
-    """One GET; status 0 where no whole answer came in time."""
+    """Sends one GET. Returns status 0 if no complete response arrived in time."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(host, port)
--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -1,9 +1,9 @@
-"""A day played live: the parts started in their order, the fault schedule carried out, the facts gathered. It
-owns the order of things and the wall between a run that counts and one that does not. It must never do a
-part's own work.
+"""Runs a scenario live: starts the parts in order, applies the fault schedule and collects the facts. This
+module decides whether a run is valid; the parts do their own work.
 
-All processes read one clock, CLOCK_MONOTONIC: the lab's own time begins when it does, the day's at `go`, once
-every proxy is ready. Facts of the lab and of the nodes are moved to the day's time when they are written."""
+All processes read one clock, CLOCK_MONOTONIC: the lab's own time begins when the lab does, the scenario's at
+`go`, once every proxy is ready. Facts of the lab and of the nodes are converted to the scenario's time when
+they are written."""
 
 from __future__ import annotations
 
@@ -31,13 +31,16 @@
 from .proxy_processes import READY_TIMEOUT_S, ProxyFleet
 from .supervisor import ProcessSupervisor, ended_by_sigterm, leftover_processes
 
-PREPARE_TIMEOUT_S = 120.0  # drawing a large day takes long
-OWN_PROXY_LEAD_US = 800_000  # a node's own proxy is started so long before the node
+PREPARE_TIMEOUT_S = 120.0  # generating the load of a large scenario takes long
+OWN_PROXY_LEAD_US = 800_000  # a node's own proxy is started this long before the node
 START_LEAD_US = 50_000
 HAND_OVER_TIMEOUT_S = 60.0
-END_SLACK_S = 15.0  # after the last order's deadline, for a machine that is slow
-MIN_STOP_US, STOP_SLACK_US = 3_000_000, 700_000  # of a planned stop: as the longest deadline, and more
-QUIET_POLL_S = 0.6  # two ticks of the nodes
+END_SLACK_S = 15.0  # after the last order's deadline, for a slow machine
+MIN_STOP_US, STOP_SLACK_US = (
+    3_000_000,
+    700_000,
+)  # a planned stop may take as long as the longest deadline, plus the slack
+QUIET_POLL_S = 0.6  # longer than two ticks of the node processes
 
 
 def run(
@@ -50,10 +53,11 @@
     *,
     stall: tuple[int, int] | None = None,
 ) -> Recording:
-    """Plays the scenario against real proxies of the source tree `tree`. `folder` is where trace files are
-    looked for; `scratch` takes configurations, logs and facts, and names of processes that an earlier run
-    left. `stall` holds up the load generator (when in the day, how long; microseconds), for tests. Raises
-    InvalidRunError, ScenarioError, OSError. All processes are gone when it returns, whatever the way out."""
+    """Runs the scenario against real proxies of the source tree `tree`. Trace files are looked up in
+    `folder`; `scratch` takes configurations, logs and facts, and the list of processes that an earlier run
+    left. `stall` holds up the load generator (start in the scenario and duration; microseconds), for
+    tests. Raises InvalidRunError, ScenarioError, OSError. All processes have ended when it returns,
+    however it returns."""
     scratch.mkdir(parents=True, exist_ok=True)
     leftovers = leftover_processes(scratch)
     with ended_by_sigterm():
@@ -94,15 +98,15 @@
         self.plan, self.scenario = layout, layout.scenario
         self.seed, self.on_progress, self.scratch = seed, watch, scratch
         self.base = monotonic_us()
-        self.start = 0  # of the day
+        self.start = 0  # start of the scenario
         self.max_deadline = max(cls.deadline for cls in self.scenario.classes)
-        self.down_nodes: set[str] = set()  # places at which no node runs
+        self.down_nodes: set[str] = set()  # node locations where no node runs
         self.tasks: set[asyncio.Task[None]] = set()
 
     def now(self) -> int:
         return monotonic_us() - self.base
 
-    # ------------------------------------------------------------ the order of things
+    # ------------------------------------------------------------ sequence of a run
 
     async def play(
         self, folder: Path, tree: Path, supervisor: ProcessSupervisor, stall: tuple[int, int] | None
@@ -123,7 +127,7 @@
         await self._wait_unless_failed(
             self._until_calls_end(), 2 * self.max_deadline / 1e6 + END_SLACK_S, "calls did not end"
         )
-        for task in list(self.tasks):  # what the schedule still holds comes after the day
+        for task in list(self.tasks):  # faults still scheduled would come after the end of the scenario
             task.cancel()
         within_s = (max(self.max_deadline, MIN_STOP_US) + STOP_SLACK_US) / 1e6
         await self._wait_unless_failed(
@@ -135,10 +139,10 @@
         return self._recording()
 
     def _open(self, tree: Path, supervisor: ProcessSupervisor) -> None:
-        """What needs the loop."""
+        """Creates the parts that need the event loop."""
         self.loop = asyncio.get_running_loop()
         self.failure: asyncio.Future[None] = self.loop.create_future()
-        self.over = asyncio.Event()  # the last order has come to its end
+        self.over = asyncio.Event()  # the last order has ended
         self.facts = FactWriter(self.scratch / "lab.jsonl")
         self.emulation = Emulation(self.scratch, supervisor, self._handle_message, self._fail)
         add, guarded = self.facts.add, self._guarded
@@ -156,7 +160,8 @@
                 self._at(change.at - OWN_PROXY_LEAD_US, self._prestart_own_proxies, change)
 
     async def _until_calls_end(self) -> None:
-        """Until no node calls any more for orders that are over. Their own time bounds these calls."""
+        """Waits until no node makes calls for orders that have ended. The calls' own timeouts bound this
+        wait."""
         await asyncio.sleep(QUIET_POLL_S)
         while self.emulation.open_calls:
             await asyncio.sleep(QUIET_POLL_S)
@@ -173,10 +178,11 @@
         notes = [*self.proxy_fleet.notes, *self.emulation.stalls()]
         return Recording("live", self.seed, merged, asked, load["late_p99_us"], notes)
 
-    # ------------------------------------------------------------ what can fail
+    # ------------------------------------------------------------ error handling
 
     async def _wait_unless_failed(self, what: Coroutine[Any, Any, object], within_s: float, why: str) -> None:
-        """Waits, unless something fails meanwhile. Raises that, or InvalidRunError where it takes too long."""
+        """Waits for `what` unless an error occurs meanwhile. Raises that error, or InvalidRunError on a
+        timeout."""
         task = asyncio.ensure_future(what)
         await asyncio.wait((task, self.failure), timeout=within_s, return_when=asyncio.FIRST_COMPLETED)
         if self.failure.done() or not task.done():
@@ -194,7 +200,7 @@
             self.failure.set_exception(problem)
 
     def _at(self, due: int, call: Callable[..., None], *args: Any) -> None:
-        """`due` is of the day."""
+        """Schedules a call at `due`, in the scenario's time."""
         delay_s = max(0, due + self.start - self.now()) / 1e6
         self.loop.call_later(delay_s, self._guarded, call, *args)
 
@@ -214,7 +220,7 @@
         if not task.cancelled() and isinstance(problem := task.exception(), Exception):
             self._fail(problem)
 
-    # ------------------------------------------------------------ what the emulation says
+    # ------------------------------------------------------------ messages from the emulation
 
     def _handle_message(self, helper: Helper, kind: str, message: Message) -> None:
         if kind == "over":
@@ -223,7 +229,7 @@
             self._report_progress(message)
         elif kind == "up":
             self.down_nodes.discard(message["place"])
-            if message["since"]:  # the others stand from the beginning
+            if message["since"]:  # the others are present from the start
                 self._register_node(message, "SERVING", message["since"])
         elif kind == "down":
             self.down_nodes.add(message["place"])
@@ -282,8 +288,8 @@
             {"proxy-kill": proxy.kill, "proxy-stop": proxy.stop, "proxy-end": proxy.stop_now}[kind]()
 
     def _prestart_own_proxies(self, change: FaultEvent) -> None:
-        """A node's own proxy stops and starts with it; it is given time to become ready, so that the node
-        need not come late."""
+        """Starts the nodes' own proxies early. Such a proxy stops and starts with its node, and needs time to
+        become ready so that the node is not late."""
         for place in change.targets:
             if place in self.down_nodes and (proxy := self.proxy_fleet.owned.get(place)):
                 self._spawn(proxy.start())
--- a/slatelab/live/schedule_lag.py
+++ b/slatelab/live/schedule_lag.py
@@ -1,21 +1,21 @@
-"""By how much the load ran late. It owns the two limits beyond which a run is no result. Pure: times are
-given."""
+"""Lag of the load generator behind its schedule, and the two limits beyond which a run is invalid. Pure:
+times are passed in."""
 
 from __future__ import annotations
 
 from array import array
 
 MAX_P99_US = 10_000
-MAX_MEAN_US = 50_000  # in any one second
+MAX_MEAN_US = 50_000  # mean lag in any one second
 SECOND_US = 1_000_000
 
 
 class ScheduleLag:
-    """Takes, for each try, when it was to be sent and how late it was taken up."""
+    """Records, for each attempt, its scheduled time and how late it was sent."""
 
     def __init__(self) -> None:
         self._lags_us = array("q")
-        self._by_second: dict[int, tuple[int, int]] = {}  # count and sum
+        self._by_second: dict[int, tuple[int, int]] = {}  # by second: count and sum
 
     def record(self, intended: int, lag_us: int) -> None:
         self._lags_us.append(lag_us)
@@ -24,12 +24,12 @@
 
     @property
     def p99_us(self) -> int:
-        """The lateness that one in a hundred exceeds; 0 where nothing was sent."""
+        """The lag that one attempt in a hundred exceeds; 0 if nothing was sent."""
         ordered = sorted(self._lags_us)
         return ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] if ordered else 0
 
     def invalid_reason(self) -> str:
-        """Why the run is no result, in one line; "" where it may be one."""
+        """Why the run is invalid, in one line; "" if it is valid."""
         if (p99 := self.p99_us) > MAX_P99_US:
             return (
                 f"the load ran late by {p99 / 1000:.1f} ms at p99: this machine is too busy for this scenario"
--- a/slatelab/live/server_connection.py
+++ b/slatelab/live/server_connection.py
@@ -1,5 +1,5 @@
-"""A connection to a node, as the node sees it: HTTP/1.1 in, whole attempts and probes out to its host. It
-owns the parser and the connection's end. It must never decide what is answered."""
+"""The server side of a connection to a node: parses HTTP/1.1 and passes complete attempts and probes to the
+node. The node decides what is answered."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 import httptools
 
-LINGER_0 = struct.pack("ii", 1, 0)  # closing then resets the connection
+LINGER_0 = struct.pack("ii", 1, 0)  # closing the socket then resets the connection
 TIMEOUT_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])\Z")
 REQUEST_HEADERS = (b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-timeout", b"x-attrs")
-MAX_REQUEST_BYTES = 256 * 1024  # of a request, head and all
+MAX_REQUEST_BYTES = 256 * 1024  # size of a request including its headers
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request. `first`: when its first byte came; `timeout_us` 0: it says none."""
+    """A complete request. `first_byte_at`: arrival of its first byte; `timeout_us` 0: none stated."""
 
     target: str
     first_byte_at: int
@@ -40,7 +40,7 @@
 
 
 class RequestHandler(Protocol):
-    """The node that is visited."""
+    """The node that handles the requests of a connection."""
 
     def now(self) -> int: ...
 
@@ -52,7 +52,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """`key` is the attempt now on it, 0: none; `since`, when it last came to rest."""
+    """`key` is the attempt in progress on the connection, 0: none; `idle_since`: when it last became idle."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self.handler = handler
@@ -105,7 +105,7 @@
         self.handler.request_received(self, request)
 
     def eof_received(self) -> None:
-        """A caller that ends its sending has given up, as one that closes."""
+        """Treats a half-close by the caller as a disconnect."""
         self._notify_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -116,7 +116,7 @@
             self.closed = True
             self.handler.connection_closed(self)
 
-    # ------------------------------------------------------------ what the node does with it
+    # ------------------------------------------------------------ operations of the node
 
     def answer(self, status: int, extra: str, body: bytes) -> None:
         assert self.transport
@@ -125,7 +125,7 @@
         self.transport.write(head.encode() + body)
 
     def stop_reading(self) -> None:
-        """Nothing of it is read any more, not even its end."""
+        """Stops reading from the connection, so that not even its end is noticed."""
         if self.transport:
             self.transport.pause_reading()
 
@@ -134,7 +134,8 @@
             self.transport.close()
 
     def reset(self) -> None:
-        """As when a process dies: what was on its way is lost, and the caller is told at once."""
+        """Resets the connection, as when a process dies: data in flight is lost and the caller is notified at
+        once."""
         if self.transport and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
@@ -143,12 +144,12 @@
 
 
 def parse_timeout_us(value: bytes) -> int:
-    """An X-Timeout, 0 where it is none."""
+    """Parses an X-Timeout header into microseconds; 0 if it is not valid."""
     match = TIMEOUT_PATTERN.match(value.strip())
     return max(1, int(float(match[1]) * (1000 if match[2] == b"m" else 1))) if match else 0
 
 
 def parse_attrs(value: str) -> dict[str, str]:
-    """An X-Attrs as names and values."""
+    """Parses an X-Attrs header into names and values."""
     pairs = (pair.partition("=") for pair in value.split(",") if pair)
     return {name.strip(): text.strip() for name, _, text in pairs}
--- a/slatelab/live/supervisor.py
+++ b/slatelab/live/supervisor.py
@@ -1,10 +1,10 @@
-"""Starts and ends the processes of a run. It owns every process from its start to the proof that it is gone,
-and a list of them in the scratch folder from which a later start can name what was left over. It must never
-signal a process that it did not start itself, and never return with one still running.
+"""Starts and ends the processes of a run. Every process is supervised from its start until it has ended, and
+listed in the scratch folder so that a later start can name leftovers. No process is signalled that was not
+started here, and `close` raises if one still runs.
 
-Three things end a process: `Keeper.close` on every way out of a run, the kernel when the lab itself is gone
-(`parent_death_watchdog.py`; that goes by the thread that starts it, so one thread must start all and outlive them), and
-nothing else."""
+A process is ended either by `ProcessSupervisor.close`, on every way out of a run, or by the kernel when the
+lab itself has ended (`parent_death_watchdog.py`). The kernel binds that to the thread that starts the
+process, so one thread must start all of them and outlive them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 import psutil
 
 PARENT_DEATH_WATCHDOG = Path(__file__).with_name("parent_death_watchdog.py")
-KILL_TIMEOUT_S = 20.0  # a killed process that stays longer hangs in the kernel
+KILL_TIMEOUT_S = 20.0  # a killed process that takes longer hangs in the kernel
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
@@ -59,11 +59,9 @@
         stderr: int | IO[bytes] | None = None,
         pass_fds: Sequence[int] = (),
     ) -> Child:
-        """Starts `command` (its first word an absolute path) in a session of its own, so that a Ctrl-C at the
-        terminal reaches the lab alone. Raises OSError."""
-        with (
-            signals_blocked()
-        ):  # an interrupt between the fork and the entry would leave the process to nobody
+        """Starts `command` (its first word an absolute path) in a new session, so that Ctrl-C at the terminal
+        only reaches the lab. Raises OSError."""
+        with signals_blocked():  # an interrupt between fork and append would leave the process unsupervised
             process = subprocess.Popen(
                 [sys.executable, "-I", "-S", str(PARENT_DEATH_WATCHDOG), str(os.getpid()), *command],
                 cwd=cwd, env=dict(env), stdin=subprocess.DEVNULL, stdout=stderr, stderr=stderr,
@@ -76,18 +74,17 @@
         return child
 
     def signal(self, child: Child, number: int) -> None:
-        """To this very process, never to another that got its number; nothing happens to one that has
-        ended."""
+        """Signals this process, never another one that reuses its pid. Does nothing if it has ended."""
         if child.code is None:
             with suppress(ProcessLookupError):
                 signal.pidfd_send_signal(child.pidfd, number)
 
     def reap(self, child: Child) -> int:
-        """Waits for the end of one that ends, with whatever it had started itself; its exit code, -9 for
-        SIGKILL."""
+        """Waits for a process that is ending and kills whatever it started itself. Returns its exit code, -9
+        for SIGKILL."""
         if child.code is None:
             os.waitid(os.P_PID, child.pid, os.WEXITED | os.WNOWAIT)
-            _kill_group(child.pid)  # while the dead process still holds its number
+            _kill_group(child.pid)  # while the zombie still holds its pid
             child.code = child.process.wait()
             os.close(child.pidfd)
             self.children.remove(child)
@@ -95,7 +92,8 @@
         return child.code
 
     def close(self) -> None:
-        """Kills what is left and proves that all of it is gone. Raises RuntimeError naming what stays."""
+        """Kills all remaining processes and waits until they have ended. Raises RuntimeError naming those
+        that remain."""
         with signals_blocked():
             for child in self.children:
                 _kill_group(child.pid)
@@ -123,21 +121,21 @@
     try:
         os.killpg(pid, signal.SIGKILL)
     except ProcessLookupError:
-        pass  # before its own session had begun, or after its end
+        pass  # before its session was created, or after its end
     except PermissionError:
-        pass  # nothing but the dead process itself is left of it
+        pass  # only the zombie itself is left of the group
 
 
 def leftover_processes(scratch: Path) -> list[str]:
-    """Processes of earlier runs in this folder that still run, as "name (pid)". They are named, never
-    touched."""
+    """Processes of earlier runs in this folder that still run, as "name (pid)". They are only listed, not
+    signalled."""
     path = scratch / "processes.jsonl"
     started: dict[int, dict[str, object]] = {}
     for text in path.read_text().splitlines() if path.exists() else ():
         try:
             line = json.loads(text)
         except ValueError:
-            continue  # cut off by the end of the lab that wrote it
+            continue  # truncated when the lab that wrote it ended
         if "name" in line:
             started[line["pid"]] = line
         else:
@@ -148,7 +146,7 @@
 
 
 def _is_same_process(pid: int, started: object) -> bool:
-    """Whether the process of this number is the one that was started then, not a later one."""
+    """Whether this pid still belongs to the process that was started then."""
     try:
         process = psutil.Process(pid)
         return (
@@ -160,7 +158,7 @@
 
 @contextmanager
 def signals_blocked() -> Iterator[None]:
-    """Interrupts wait until the block is over."""
+    """Blocks the stop signals until the block ends."""
     old = signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     try:
         yield
@@ -170,8 +168,8 @@
 
 @contextmanager
 def ended_by_sigterm() -> Iterator[None]:
-    """SIGTERM leaves the block as SystemExit, so that what it started is ended in order. Outside the main
-    thread, where Python takes no signals, the leash alone must do."""
+    """Turns SIGTERM into SystemExit within the block, so that started processes are ended in order. Outside
+    the main thread, where Python handles no signals, only the parent death watchdog ends them."""
     if threading.current_thread() is not threading.main_thread():
         yield
         return
--- a/slatelab/live/wire.py
+++ b/slatelab/live/wire.py
@@ -1,4 +1,4 @@
-"""Requests as callers write them. It owns their bytes, and must never send them."""
+"""Encodes requests as callers send them."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     retried: bool = False,
     alike: bool = False,
 ) -> bytes:
-    """A whole request of a class. All tries of an order ask for the same, and two orders for different things unless
-    `alike`. `figures` travel in X-Attrs, which proxies
-    pass on unread: by them a node knows what work it is, and which proxy it was sent through."""
+    """Encodes a complete request of a class. All attempts of an order have the same target, and two orders
+    have different targets unless `alike`. `figures` are sent in X-Attrs, which proxies forward unchanged:
+    from them a node knows its work and the proxy that forwarded the request."""
     method = "GET" if cls.effect == "safe" else "POST"
     lines = [
         f"{method} /{cls.name}{'' if alike else '/' + order_id(request)} HTTP/1.1",
--- a/slatelab/peers/__init__.py
+++ b/slatelab/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What lies between proxies that know each other: the net between them and its faults, in both engines."""
+"""The network between proxies that know each other, and its faults, for both engines."""
--- a/slatelab/peers/faults.py
+++ b/slatelab/peers/faults.py
@@ -1,4 +1,4 @@
-"""What a change of the fault schedule means for the net between proxies; the same in both engines."""
+"""Applies changes of the fault schedule to the network between proxies; the same in both engines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 def apply_change(net: PeerNetwork, change: FaultEvent, proxy_names: Iterable[str], usual_loss: float) -> None:
-    """`everybody`: the proxies that are on the net. Those of another tier hear nothing of each other anyway."""
+    """Applies one change. `proxy_names`: all proxies on the network; those of different tiers exchange no
+    datagrams in any case. `usual_loss`: the loss without a fault."""
     if change.kind == "peer-lossy":
         net.faults.loss = change.spec.part if change.is_start else usual_loss
     elif change.is_start:
--- a/slatelab/peers/membership_simulation.py
+++ b/slatelab/peers/membership_simulation.py
@@ -1,6 +1,6 @@
-"""A fleet of peers on virtual time: the proxies' own machines with a modelled net between them and nothing else. It
-owns the queue of what is to come. For measurements and tests of membership and sums, at any size. It must never touch a
-machine but by its door: datagrams, time, and what it wants sent."""
+"""Simulates the membership of a fleet on virtual time: real peer state machines on a modelled network and
+nothing else, for measurements and tests of membership and sums at any fleet size. The peers are only
+driven through their public interface: datagrams, time and the output to send."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MembershipSimulation:
-    """`start` and `stop` members by name; `run` until a time. `log`: (time, whose news, change)."""
+    """`start` and `stop` members by name; `run` for a time span. `log`: (time, observing member, change)."""
 
     def __init__(
         self, seed: int, terms: MembershipConfig | None = None, make_peer: PeerFactory | None = None
@@ -36,7 +36,7 @@
         self.log: list[tuple[int, str, MemberChange]] = []
         self._queue: list[tuple[int, int, str, Any]] = []
         self._sequence = 0
-        self._next_wakeup: dict[str, int] = {}  # when each is to be rung next
+        self._next_wakeup: dict[str, int] = {}  # by name: when each peer is to be advanced next
 
     def place(self, name: str, seeds: int = 2) -> PeerIdentity:
         first = tuple(sorted(self.addresses))[:seeds]
@@ -63,7 +63,8 @@
         self.frozen[name] = []
 
     def unfreeze(self, name: str) -> None:
-        """It finds in its socket what came meanwhile, as much as a socket holds; and then that it is late."""
+        """Resumes a frozen member. It receives the datagrams buffered meanwhile, as many as a socket buffer
+        holds, and then learns how late it is."""
         for data in self.frozen.pop(name)[:200]:
             self.peers[name].receive(self.now, data)
         self._advance_peer(name)
@@ -112,7 +113,7 @@
         heappush(self._queue, (due, self._sequence, name, data))
 
     def has_converged(self) -> bool:
-        """Whether everybody holds everybody for alive, and nobody else."""
+        """Whether every member considers exactly all the others alive."""
         names = set(self.peers)
         return all(
             {m.record.name for m in p.membership.member_table.live_members()} == names - {n}
--- a/slatelab/peers/network.py
+++ b/slatelab/peers/network.py
@@ -1,6 +1,6 @@
-"""The net between proxies, and what goes wrong on it. Pure: for each datagram it says when, how often and in which
-shape it arrives. The model and the relay of the engine `live` ask the same machine. It must never look inside a
-datagram."""
+"""The network between proxies and its faults. Pure: for each datagram it returns when, how often and in which
+form it arrives. Used by both the model and the relay of the live engine. The content of datagrams is not
+examined."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 @dataclass(slots=True)
 class DatagramFaults:
-    """What befalls each datagram on its way. Times in microseconds."""
+    """Faults applied to each datagram. Probabilities, and times in microseconds."""
 
     loss: float = 0.0
     duplication: float = 0.0
-    corruption: float = 0.0  # a byte of it is another
+    corruption: float = 0.0  # one byte is changed
     reordering: float = (
-        0.0  # part of the datagrams that take `reordering_delay` longer, and so overtake each other
+        0.0  # share of the datagrams that take `reordering_delay` longer, and so arrive out of order
     )
     reordering_delay: int = 0
-    delay: int = 0  # for all of them
+    delay: int = 0  # added to every datagram
 
 
 @dataclass(slots=True)
 class PeerNetwork:
-    """`delay`: one way without fault, drawn evenly up to twice this."""
+    """`delay`: mean one-way delay without faults; drawn uniformly from 0 to twice this value."""
 
     rng: Random
     delay: int = 200
     faults: DatagramFaults = field(default_factory=DatagramFaults)
-    # By fault: ordered pairs that hear nothing.
+    # By fault: ordered pairs (sender, receiver) whose datagrams are dropped.
     partitions: dict[str, frozenset[tuple[str, str]]] = field(default_factory=dict)
 
     def partition(
@@ -43,7 +43,7 @@
         self.partitions.pop(fault, None)
 
     def deliveries(self, sender: str, receiver: str, data: bytes) -> list[tuple[int, bytes]]:
-        """So much later each copy arrives, and what it then is."""
+        """Returns, for each copy that arrives, its delay and its content."""
         if any((sender, receiver) in pairs for pairs in self.partitions.values()):
             return []
         faults, rng = self.faults, self.rng
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -1,9 +1,8 @@
-"""Drawn days of a group that keeps registers together: what its clients ask and what befalls it, all from a seed;
-played, judged and, where a rule is broken, shrunk to the least that still breaks it. It owns the draw. It must never
-draw what nothing could survive: at no time are more machines without their memory than a group of that size bears.
+"""Randomized runs of a group that replicates registers: client operations and faults are drawn from a seed,
+run and checked, and a run that breaks a rule is shrunk to a minimal one. Faults are drawn so that they can
+be survived: at no time have more nodes lost their storage than a group of that size tolerates.
 
-    python -m slatelab.peers.randomized_faults --seeds 1-2000 [--jobs 8] [--size 3]
-"""
+    python -m slatelab.peers.randomized_faults --seeds 1-2000 [--jobs 8] [--size 3]"""
 
 from __future__ import annotations
 
@@ -27,8 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """`machine`: a place among the machines; `duration`: how long it lasts; `magnitude`: what more there is to say of
-    it."""
+    """`machine`: index of the node; `duration`: how long it lasts, microseconds; `magnitude`: further
+    parameter of the kind, 0 to 1 for faults."""
 
     at: int
     kind: str
@@ -41,7 +40,7 @@
 class RunResult:
     violations: list[str]
     counts: Counter[str] = field(default_factory=Counter)
-    longest: int = 0  # an operation took, microseconds
+    longest: int = 0  # longest operation, microseconds
 
 
 def drawn(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
@@ -84,7 +83,7 @@
         return RunResult(found, self.counts, late)
 
     def _end_all_faults(self) -> None:
-        """All faults are over."""
+        """Ends all faults and lets the group recover."""
         simulation = self.simulation
         simulation.net.partitions.clear()
         self._clear_datagram_faults()
@@ -120,7 +119,8 @@
         self._start_later(name, event.duration)
 
     def _wipe(self, name: str, event: Event) -> None:
-        """Only while the group can bear it: all the others vote with the memory that they have."""
+        """Wipes a node's storage, but only while the group tolerates it: all other voters still have their
+        storage."""
         simulation = self.simulation
         newest = max((m.config for m in simulation.running.values()), key=lambda c: c.epoch, default=None)
         whole = newest is not None and newest.epoch and not newest.old_voters
@@ -134,8 +134,9 @@
             self._start_later(name, event.duration)
 
     def _trap(self, name: str, event: Event) -> None:
-        """What one wrote together with a second while the third was cut off; then the second loses its memory, and is
-        left with the third. A wiped voter that counts forgets for all."""
+        """Provokes the loss of a write if a wiped voter still counts: the first node writes together with the
+        second while the third is cut off; then the second loses its storage and is left with the third, so
+        that a majority would have forgotten the write."""
         second, third = (self.names[(event.machine + i) % len(self.names)] for i in (1, 2))
         self._cut(third, replace(event, magnitude=0.0))
         self.simulation.call_after(
@@ -170,7 +171,7 @@
         self.simulation.call_after(event.duration, lambda: self._clear_datagram_faults())
 
     def _full(self, name: str, event: Event) -> None:
-        """Until it is started again, with room."""
+        """Fills the disk until the node is restarted with free space."""
         self.simulation.fill_disk(name)
         self.simulation.call_after(event.duration, lambda: self.simulation.crash(name))
         self._start_later(name, event.duration + 10 * MS)
@@ -181,13 +182,14 @@
             self.simulation.call_after(event.duration, lambda: setattr(disk, "delay", 200))
 
     def _clock(self, name: str, event: Event) -> None:
-        """A clock that is wrong, from the next start on: a running one does not jump (it is monotonic)."""
+        """Sets a wrong clock from the next start on: the clock of a running process does not jump (it is
+        monotonic)."""
         self.simulation.crash(name)
         self.simulation.clocks[name] = int((event.magnitude - 0.5) * 600 * SECOND)
         self._start_later(name, event.duration)
 
     def _halt(self, name: str, event: Event) -> None:
-        """All at once."""
+        """Crashes all nodes at once."""
         for node in self.names:
             self.simulation.crash(node)
             self._start_later(node, int(event.duration * self.rng.random()))
@@ -200,12 +202,13 @@
     events: Sequence[Event] | None = None,
     reuse_store_id: bool = False,
 ) -> RunResult:
-    """`reuse_store_id`: planted, see ReplicaSimulation."""
+    """Runs one seed. `reuse_store_id`: deliberate fault, see ReplicaSimulation."""
     return Player(seed, size, build, reuse_store_id).play(drawn(seed, size) if events is None else events)
 
 
 def shrink(seed: int, size: int, build: ReplicaFactory | None = None) -> tuple[list[Event], RunResult]:
-    """The least of the day's events, one by one left out, that still breaks a rule."""
+    """Shrinks a failing run to fewer events, leaving out blocks and then single events, as long as a rule is
+    still broken."""
     events = drawn(seed, size)
     day = run_seed(seed, size, build, events)
     step = max(1, len(events) // 2)
--- a/slatelab/peers/relay.py
+++ b/slatelab/peers/relay.py
@@ -1,6 +1,6 @@
-"""The net between real proxies: one UDP socket for each, at the address that it advertises, and a thread that carries
-what comes there on to where it listens, as PeerNetwork says. It owns these sockets. It must never change what it
-carries but as the net does, and never send to anything but the addresses that it was given, all of them on loopback."""
+"""The network between real proxies: one UDP socket per proxy at the address that it advertises, and a thread
+that forwards datagrams to the proxy's listening address as PeerNetwork decides. Datagrams are changed only
+as PeerNetwork does, and sent only to the given loopback addresses."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 
 
 def _bound_socket() -> socket.socket:
-    """At a loopback address for UDP that nobody has."""
+    """A UDP socket bound to a free loopback address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     return sock
 
 
 def free_udp_addresses(names: Sequence[str]) -> dict[str, Address]:
-    """A loopback address for UDP for each, that nobody has; held until all are drawn, so that no two get the same."""
+    """Finds a free UDP loopback address for each name. All are held until the last is drawn, so that no two
+    are the same."""
     drawn = {name: _bound_socket() for name in names}
     found: dict[str, Address] = {name: sock.getsockname() for name, sock in drawn.items()}
     for sock in drawn.values():
@@ -34,7 +35,7 @@
 
 
 class Relay:
-    """`net` may be changed while it runs, under `lock`. `carried`: datagrams by sender and receiver."""
+    """`net` may be changed while the relay runs, under `lock`. `carried`: datagrams by sender and receiver."""
 
     def __init__(self, net: PeerNetwork, names: list[str]) -> None:
         self.net, self.lock = net, threading.Lock()
@@ -84,7 +85,7 @@
         try:
             self.socks[sender].sendto(data, self.listen_addresses[receiver])
         except OSError:
-            pass  # nobody listens there now
+            pass  # no process listens there at the moment
 
     def close(self) -> None:
         self._running = False
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -1,10 +1,12 @@
-"""A group of proxies that keep registers together, on virtual time: their own machines (`slatehub.copies`), a net that
-loses, doubles and delays, disks that forget what was not yet durable, and clients whose history is checked. A day is a
-seed. It owns the queue of what is to come and the faults. It must never touch a machine but by its door.
+"""Simulates a group of proxies that replicate registers, on virtual time: real replica state machines
+(`slatehub.copies`), a network that loses, duplicates and delays datagrams, disks that lose what was not
+yet durable, and clients whose history is checked. A run is determined by its seed. The replicas are only
+driven through their public interface.
 
-Each client's operation puts a token of its own behind what stands in a register, so that what stands there in the end
-is the order in which all of them took effect: a register is linearizable if every answer fits that order, and every
-operation that had ended before another began stands before it (as in Kingsbury and Alvaro, Elle, 2020, for lists)."""
+Each client operation appends a token of its own to a register, so the final value is the order in which all
+operations took effect. A register is linearizable if every response is consistent with that order, and every
+operation that had ended before another began comes before it (as in Kingsbury and Alvaro, Elle, 2020, for
+lists)."""
 
 from __future__ import annotations
 
@@ -27,20 +29,20 @@
 
 @dataclass(slots=True)
 class Disk:
-    """`synced`: what a crash leaves; `unsynced`: written and not yet durable."""
+    """`synced`: records that survive a crash; `unsynced`: written and not yet durable."""
 
     store: int
     synced: list[LogRecord] = field(default_factory=list)
     unsynced: list[LogRecord] = field(default_factory=list)
     busy: bool = False
-    delay: int = 200  # microseconds of a sync
+    delay: int = 200  # mean duration of a sync, microseconds
     full: bool = False
     fresh: bool = True
 
 
 @dataclass(slots=True)
 class Operation:
-    """One operation of a client's, as its history has it."""
+    """One client operation, as recorded in the history."""
 
     key: bytes
     token: bytes
@@ -55,8 +57,8 @@
     token: bytes
 
     def __call__(self, found: bytes) -> bytes:
-        """An earlier try of ours may have been taken up, and others' tokens put behind it: then it is only written
-        again, as what was found need not have been decided."""
+        """Appends the token once. An earlier attempt of this operation may have been accepted and followed by
+        other tokens; then the value is only written again, as the value found need not have been decided."""
         return found if self.token in tokens(found) else found + self.token
 
 
@@ -64,7 +66,8 @@
 
 
 class ReplicaSimulation:
-    """`names` are the founders. `crash` leaves the disk, `wipe` does not; a name that is `running` runs."""
+    """`names` are the founding voters. `crash` keeps the disk unless `wipe` is set. `running`: the replicas
+    that run, by name."""
 
     def __init__(
         self,
@@ -83,7 +86,7 @@
         self.running: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.frozen: dict[str, list[tuple[str, bytes]]] = {}
-        self.clocks: dict[str, int] = {}  # by how much each one's clock is wrong
+        self.clocks: dict[str, int] = {}  # offset of each node's clock, microseconds
         self.history: list[Operation] = []
         self.open: dict[tuple[str, int, int], Operation] = {}
         self.lines: list[tuple[int, str, str]] = []
@@ -92,15 +95,17 @@
         self._next_wakeup: dict[str, int] = {}
         self.tokens = 0
         self.messages_sent = 0
-        self.reuse_store_id = False  # planted: who has lost its memory passes for the voter that it was
+        self.reuse_store_id = (
+            False  # deliberate fault: a node that lost its storage keeps its identity as a voter
+        )
         self.copies_override: Callable[[int, str, str], int] | None = (
-            None  # of datagram n: how many copies arrive
+            None  # number of copies of datagram n that arrive
         )
 
     def _default_build(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
         return Replica(name, store, self.founders, now, rng, self.terms, founding=founding)
 
-    # ------------------------------------------------------------ machines
+    # ------------------------------------------------------------ nodes
 
     def start(self, *names: str) -> None:
         for name in names:
@@ -120,7 +125,8 @@
         return self.now + self.clocks.get(name, 0)
 
     def crash(self, name: str, wipe: bool = False) -> None:
-        """What is not durable is lost, but for a part that had got as far as the disk."""
+        """Crashes a node. Records that are not durable are lost, except for a random prefix that reached the
+        disk."""
         if self.running.pop(name, None):
             disk = self.disks[name]
             disk.synced += disk.unsynced[: self.rng.randrange(len(disk.unsynced) + 1)]
@@ -146,14 +152,14 @@
             self._advance_replica(name)
 
     def fill_disk(self, name: str) -> None:
-        """Its disk takes nothing any more."""
+        """Makes the node's disk refuse further writes."""
         if name in self.running:
             self.disks[name].full = True
 
     # ------------------------------------------------------------ clients
 
     def append_token(self, name: str, key: bytes) -> Operation | None:
-        """A client asks this one to put a token behind what stands under `key`."""
+        """Starts a client operation at this node that appends a token to the register `key`."""
         if name not in self.running or name in self.frozen:
             return None
         self.tokens += 1
@@ -259,7 +265,7 @@
             disk.fresh = disk.fresh and not disk.synced
             if (
                 name in self.frozen
-            ):  # the disk goes on while the process stands still; it hears of it when it wakes
+            ):  # the disk continues while the process is frozen; the process learns of the sync when it resumes
                 self.call_after(0, lambda: self._mark_durable_later(name, life, count))
                 return
             replica.mark_durable(self._clock(name), replica.durable_index + count)
@@ -283,10 +289,10 @@
         self._sequence += 1
         heappush(self._queue, (due, self._sequence, kind, name, what))
 
-    # ------------------------------------------------------------ judged
+    # ------------------------------------------------------------ checks
 
     def read(self, key: bytes) -> bytes | None:
-        """What stands there, as a majority tells: an operation of its own, tried at each that is up."""
+        """Reads a register through a majority: runs an operation of its own, tried at each running node."""
         for _ in range(40):
             for name in sorted(self.running):
                 operation = self.append_token(name, key)
@@ -301,8 +307,8 @@
 
 
 def linearizability_violations(history: list[Operation]) -> list[str]:
-    """What no linearizable register could have answered, in order of time; the shortest history that shows each. The
-    last operation on each register must be one that was answered."""
+    """Violations of linearizability in a history, in order of time, each with the shortest history that shows
+    it. The last operation on each register must be one that was answered."""
     found: list[str] = []
     for key in sorted({operation.key for operation in history}):
         ops = [operation for operation in history if operation.key == key]
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -1,5 +1,5 @@
-"""The engine `live`: real processes, sockets and signals, so each test waits for events and none for a time to
-pass, but where it proves that nothing comes."""
+"""The live engine with real processes, sockets and signals. Each test waits for events, never for a fixed
+time, except where it proves that nothing arrives."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 from slatelab.scenario import Scenario, parse
 
 ROOT = Path(__file__).parents[2]
-EXPECTED_WITHIN_S = 20.0  # for what must come
-QUIET_PERIOD_S = 0.3  # for what must not
+EXPECTED_WITHIN_S = 20.0  # seconds allowed for events that must occur
+QUIET_PERIOD_S = 0.3  # seconds to wait for events that must not occur
 
 
 def scenario(duration: str = "2 s", rate: str = "40/s", **more: Any) -> Scenario:
@@ -52,7 +52,7 @@
 
 
 def started_pids(scratch: Path) -> dict[str, int]:
-    """All that a run has started, by name."""
+    """The pid of every process that a run started, by name."""
     lines = [json.loads(line) for line in (scratch / "processes.jsonl").read_text().splitlines()]
     return {line["name"]: line["pid"] for line in lines if "name" in line}
 
@@ -65,7 +65,7 @@
 
 
 def wait_until_all_gone(scratch: Path) -> bool:
-    """Waits for it: a kill takes its time in the kernel."""
+    """Waits until all processes of a run have ended; a kill takes time in the kernel."""
     end = time.monotonic() + EXPECTED_WITHIN_S
     while (left := any(map(is_running, started_pids(scratch).values()))) and time.monotonic() < end:
         time.sleep(0.01)
@@ -75,7 +75,7 @@
 # ---------------------------------------------------------------- whole runs
 
 
-def test_a_tiny_day_with_the_real_proxy_is_judged_content_and_leaves_no_process(tmp_path: Path) -> None:
+def test_a_small_run_with_the_real_proxy_breaks_no_rule_and_leaves_no_process(tmp_path: Path) -> None:
     ticks: list[ProgressSnapshot] = []
     what = scenario()
     recording = run(what, 1, tmp_path, ticks.append, ROOT, tmp_path)
@@ -124,14 +124,14 @@
     assert wait_until_all_gone(tmp_path)
 
 
-def test_a_starved_load_generator_says_so(tmp_path: Path) -> None:
+def test_a_stalled_load_generator_makes_the_run_invalid(tmp_path: Path) -> None:
     with pytest.raises(
         InvalidRunError, match=r"the load ran late by \d+\.\d ms at p99: this machine is too busy"
     ):
         run(scenario(), 1, tmp_path, None, ROOT, tmp_path, stall=(500_000, 400_000))
 
 
-def test_a_proxy_that_cannot_start_is_named_with_its_last_words(tmp_path: Path) -> None:
+def test_a_proxy_that_cannot_start_is_named_with_its_last_log_lines(tmp_path: Path) -> None:
     tree = tmp_path / "tree" / "slatehub"
     tree.mkdir(parents=True)
     (tree / "__init__.py").touch()
@@ -146,7 +146,7 @@
 
 
 class NodeFixture:
-    """A place alone, and what it tells."""
+    """A single emulated node, and the notifications that it sends."""
 
     def __init__(self, tmp: Path, at: Addresses) -> None:
         loop, what = asyncio.get_running_loop(), scenario()
@@ -155,7 +155,7 @@
         self.notifications: list[str] = []
         self.address = (at.node(0), at.port)
         self.node = EmulatedNode(
-            HelperChannel(loop, JobContext("town", monotonic_us(), tmp / "facts")), what, RandomStreams(1),
+            HelperChannel(loop, JobContext("node", monotonic_us(), tmp / "facts")), what, RandomStreams(1),
             NodeLocation(build_nodes(what, RandomStreams(1))[0], *self.address),
             lambda say, **more: self.notifications.append(say),
         )  # fmt: skip
@@ -238,11 +238,11 @@
     run_with_node(tmp_path, act)
 
 
-# ---------------------------------------------------------------- the calling side
+# ---------------------------------------------------------------- client connections
 
 
 class ScriptedServer:
-    """A server scripted by the test, and a pool that calls it."""
+    """A server scripted by the test, and a connection pool that calls it."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -281,13 +281,13 @@
     uvloop.run(main())
 
 
-def test_a_request_that_a_closing_crossed_goes_out_once_more() -> None:
+def test_a_request_unread_because_the_idle_connection_closed_is_sent_once_more() -> None:
     async def act(server: ScriptedServer) -> None:
         await server.send_request()
         first = await server.accept()
         await server.serve(first, OK_RESPONSE)
         await server.next_finished()
-        first.close()  # the caller's loop has not heard of it when it writes the next
+        first.close()  # the client's event loop has not yet noticed this when it writes the next request
         await server.send_request()
         await server.serve(await server.accept(), OK_RESPONSE)
         again = await server.next_finished()
@@ -312,7 +312,7 @@
     run_with_server(act)
 
 
-def test_an_answer_that_nobody_asked_for_is_not_taken_for_the_next_ones() -> None:
+def test_an_unsolicited_answer_is_not_taken_for_that_of_the_next_request() -> None:
     async def act(server: ScriptedServer) -> None:
         await server.send_request()
         await server.serve(await server.accept(), OK_RESPONSE + OK_RESPONSE)
@@ -344,12 +344,12 @@
         other.close()
 
 
-def test_lateness_is_refused_by_its_p99_and_by_its_worst_second() -> None:
+def test_schedule_lag_is_limited_at_p99_and_in_the_worst_second() -> None:
     late = ScheduleLag()
     for i in range(10_000):
         late.record(i * 1000, 9_000)
     assert late.invalid_reason() == "" and late.p99_us == 9_000
-    for _ in range(60):  # too few for the p99, but most of that second
+    for _ in range(60):  # too few to affect the p99, but most of that second
         late.record(10_500_000, 70_000)
     assert "70.0 ms on average in second 10" in late.invalid_reason()
     for _ in range(200):
--- a/tests/lab/test_peers_of_scenarios.py
+++ b/tests/lab/test_peers_of_scenarios.py
@@ -1,4 +1,4 @@
-"""Proxies that know each other in scenarios: on virtual time and, once, with real processes."""
+"""Scenarios whose proxies know each other: on virtual time and, once, with real processes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def failures(recording: Recording) -> int:
-    """Attempts that a node failed."""
+    """Counts the attempts that a node failed."""
     return sum(isinstance(f, r.Replied) and f.status == 500 for f in recording.records)
 
 
@@ -35,11 +35,11 @@
     alone, peers = run_and_judge("one-ejected"), run_and_judge("one-ejected", **{"fleet.peers": True})
     assert failures(peers) < 0.75 * failures(alone)
     again = run_and_judge("one-ejected", **{"fleet.peers": True})
-    assert again.records == peers.records  # the same day each time
+    assert again.records == peers.records  # the same seed gives the same run
 
 
 @pytest.mark.parametrize("kind", ["peer-cut", "peer-mute", "peer-lossy"])
-def test_faults_between_proxies_break_no_rule_and_pass(kind: str) -> None:
+def test_faults_between_proxies_break_no_rule_and_the_fleet_recovers(kind: str) -> None:
     fault = {
         "kind": kind,
         "at": "2 s",
@@ -61,7 +61,7 @@
     if kind == "peer-cut":
         assert (
             max(counts[0]) <= 5 and sum(counts[0]) <= 30
-        )  # of 26 once all suspicions have ended, 56 before the cut
+        )  # of 26 once all suspicions have expired, 56 before the partition
     assert {end.peer.member_counts().present for end in day.context.peer_network.endpoints.values()} == {7}
 
 
@@ -81,7 +81,7 @@
     )
     day.run()
     assert judge(day.context.scenario, day.context.records).violations == []
-    assert sorted(seen[0]) == [4, 4, 4, 4, 4, 5]  # the one that sleeps still holds what it last knew
+    assert sorted(seen[0]) == [4, 4, 4, 4, 4, 5]  # the frozen proxy still has the member list from before
     assert {end.peer.member_counts().alive for end in day.context.peer_network.endpoints.values()} == {5}
     asleep = [
         f
@@ -95,7 +95,7 @@
     return next(f.targets[0] for f in day.context.records if isinstance(f, r.FaultBegan))
 
 
-def test_one_loud_proxy_alone_turns_away_what_the_fleet_together_has_room_for() -> None:
+def test_one_loaded_proxy_alone_rejects_what_the_fleet_has_capacity_for() -> None:
     short = {"scenario.duration": "16 s", "arrivals.1.start": "6 s", "arrivals.1.end": "14 s"}
     scenario = load(FOLDER / "one-loud.toml", {**short, "fleet.peers": False})
     alone = judge(scenario, run(scenario, 1, FOLDER, None).records)
