--- a/slatelab/live/control_channel.py
+++ b/slatelab/live/control_channel.py
@@ -1,9 +1,9 @@
-"""The line between the lab and each of its emulating processes: one JSON object a line, both ways, over a
-socket pair. It owns both ends, and in the emulating process also what every part of it shares: the loop, the
-clock, the facts and the sampler of stalls. It must never carry a request of the day.
+"""Control channel between the lab and each emulating process: one JSON object per line in both directions,
+over a socket pair. Also holds what all parts of an emulating process share: the event loop, the clock, the
+fact writer and the stall sampler. Requests of the scenario never travel over this channel.
 
-The lab says `do`: go (at), change (n), start (place), set, front, stop. A process says `say`: ready, up,
-down, drains, tick, over, invalid (text), done."""
+Messages from the lab carry `do`: go (at), change (n), start (place), set, front, stop. Messages from a
+process carry `say`: ready, up, down, drains, tick, over, invalid (text), done."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from slatelab.records import Lagged
 
 from .clock import Clock
-from .facts import Facts
+from .facts import FactWriter
 
-SAMPLE_US = 20_000
-STALL_US = 5_000  # what a sampler tells of
-BEHIND = 1024 * 1024  # bytes that the lab has not yet read: then ticks are left out
-WITHIN_S = 10.0  # for the other side to take a message
+STALL_SAMPLE_US = 20_000
+MIN_STALL_US = 5_000  # shorter stalls are not reported
+MAX_UNSENT_BYTES = 1024 * 1024  # unread by the lab; above this limit ticks are skipped
+SEND_TIMEOUT_S = 10.0  # time for the other side to accept a message
 
 Message = dict[str, Any]
 
 
-class Lines:
-    """Splits what comes into messages."""
+class LineDecoder:
+    """Splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -44,20 +44,20 @@
         return [json.loads(line) for line in whole]
 
 
-class Near:
-    """The lab's end."""
+class LabChannel:
+    """The lab's end of the channel."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(WITHIN_S)
+        sock.settimeout(SEND_TIMEOUT_S)
         self.sock = sock
-        self._lines = Lines()
+        self._lines = LineDecoder()
 
-    def tell(self, do: str, **more: Any) -> None:
-        """Raises OSError where the process is gone or does not listen."""
-        self.sock.sendall(json.dumps({"do": do, **more}).encode() + b"\n")
+    def send(self, command: str, **fields: Any) -> None:
+        """Sends a message. Raises OSError if the process has ended or does not read."""
+        self.sock.sendall(json.dumps({"do": command, **fields}).encode() + b"\n")
 
-    def hear(self) -> list[Message] | None:
-        """What has come; None at the end."""
+    def receive(self) -> list[Message] | None:
+        """Returns the messages that have arrived; None at the end of the stream."""
         data = self.sock.recv(1 << 16)
         return self._lines.feed(data) if data else None
 
@@ -67,8 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class JobContext:
-    """What each part is told: its name, `base` (CLOCK_MONOTONIC where the run's own time begins), where its
-    facts go."""
+    """Settings common to all parts: the name, `base` (the CLOCK_MONOTONIC time at which the run's own time
+    begins) and the path of the facts file."""
 
     name: str
     base: int
@@ -76,11 +76,11 @@
 
 
 class Part(Protocol):
-    """What an emulating process plays."""
+    """The part of the emulation that a process runs."""
 
     async def open(self) -> None: ...
 
-    def hear(self, message: Message) -> None: ...
+    def handle_message(self, message: Message) -> None: ...
 
     def tick(self) -> Message | None: ...
 
@@ -91,23 +91,23 @@
     @property
     def context(self) -> JobContext: ...
 
-    def part(self, far: HelperChannel) -> Part: ...
+    def part(self, channel: HelperChannel) -> Part: ...
 
 
 class HelperChannel(asyncio.Protocol):
-    """The emulating process's end, and what its part stands on. Facts are in `clock` time; a part that counts
-    from the day's first moment itself sets `by_day`."""
+    """The emulating process's end of the channel, with the services that its part uses. Facts carry `clock`
+    times; a part whose clock already counts from the start of the scenario sets `uses_day_time`."""
 
-    def __init__(self, loop: AbstractEventLoop, common: JobContext) -> None:
+    def __init__(self, loop: AbstractEventLoop, context: JobContext) -> None:
         self.loop = loop
-        self.name = common.name
-        self.clock = Clock(loop, common.base)
-        self.facts = Facts(common.facts)
-        self.by_day = False
+        self.name = context.name
+        self.clock = Clock(loop, context.base)
+        self.facts = FactWriter(context.facts)
+        self.uses_day_time = False
         self.part: Part | None = None
-        self.worst_us = 0  # stall seen
+        self.max_stall_us = 0  # longest stall observed
         self.ended: asyncio.Future[int] = loop.create_future()
-        self._lines = Lines()
+        self._lines = LineDecoder()
         self._transport: Transport | None = None
 
     def connection_made(self, transport: BaseTransport) -> None:
@@ -115,96 +115,98 @@
 
     def data_received(self, data: bytes) -> None:
         for message in self._lines.feed(data):
-            self._obey(message)
+            self._handle_message(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end(1)  # the lab is gone
+        self._finish(1)  # the lab has ended
 
-    def say(self, say: str, **more: Any) -> None:
+    def send(self, kind: str, **fields: Any) -> None:
         assert self._transport
-        self._transport.write(json.dumps({"say": say, **more}).encode() + b"\n")
+        self._transport.write(json.dumps({"say": kind, **fields}).encode() + b"\n")
 
-    def invalid(self, text: str) -> None:
-        """The run cannot be trusted any more."""
-        self.say("invalid", text=text)
+    def report_invalid(self, text: str) -> None:
+        """Reports that the results of the run are no longer valid."""
+        self.send("invalid", text=text)
 
-    def _obey(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         assert self.part
         if message["do"] == "stop":
             done = self.part.close()
             self.facts.close()
-            self.say("done", worst_us=self.worst_us, **done)
+            self.send("done", worst_us=self.max_stall_us, **done)
             return
         if message["do"] == "go":
-            self._go(message["at"])
-        self.part.hear(message)
+            self._start_day(message["at"])
+        self.part.handle_message(message)
 
-    def _go(self, at: int) -> None:
-        if self.by_day:
+    def _start_day(self, at: int) -> None:
+        if self.uses_day_time:
             self.clock.rebase(at)
-        self.facts.begin(0 if self.by_day else at)
-        self._sample(self.clock.now() + SAMPLE_US)
+        self.facts.begin(0 if self.uses_day_time else at)
+        self._sample(self.clock.now() + STALL_SAMPLE_US)
         self.loop.call_later(0.25, self._tick)
 
     def _sample(self, due: int) -> None:
-        """Guards against trusting times that a busy machine made late."""
+        """Records a Lagged fact when the loop was stalled, so that times distorted by a busy machine are not
+        taken as valid."""
 
-        def look() -> None:
+        def check() -> None:
             now = self.clock.now()
-            if now - due > STALL_US:
+            if now - due > MIN_STALL_US:
                 self.facts.add(Lagged(now, self.name, now - due))
-                self.worst_us = max(self.worst_us, now - due)
-            self._sample(now + SAMPLE_US)
+                self.max_stall_us = max(self.max_stall_us, now - due)
+            self._sample(now + STALL_SAMPLE_US)
 
         if not self.ended.done():
-            self.clock.at(due, look)
+            self.clock.call_at(due, check)
 
     def _tick(self) -> None:
         assert self.part and self._transport
-        if self._transport.get_write_buffer_size() < BEHIND:
+        if self._transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
             if tick := self.part.tick():
-                self.say("tick", **tick)
+                self.send("tick", **tick)
         self.loop.call_later(0.25, self._tick)
 
-    def _end(self, code: int) -> None:
+    def _finish(self, code: int) -> None:
         if not self.ended.done():
             self.ended.set_result(code)
 
-    def fault(self, loop: AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception that nobody took: the process must not go on with half of its work undone."""
+    def handle_exception(self, loop: AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Handles an uncaught exception by ending the process, which must not continue with its work partly
+        done."""
         problem = context.get("exception")
         loop.default_exception_handler(context)
         if not self.ended.done():
-            self.invalid(
+            self.report_invalid(
                 f"{self.name}: {type(problem).__name__}: {problem}" if problem else context["message"]
             )
-            self._end(1)
+            self._finish(1)
 
 
-async def _play(job: Job, fd: int) -> int:
+async def _run_job(job: Job, fd: int) -> int:
     loop = asyncio.get_running_loop()
-    far = HelperChannel(loop, job.context)
-    loop.set_exception_handler(far.fault)
+    channel = HelperChannel(loop, job.context)
+    loop.set_exception_handler(channel.handle_exception)
     sock = socket.socket(fileno=fd)
-    await loop.create_connection(lambda: far, sock=sock)
-    far.part = job.part(far)
-    await far.part.open()
+    await loop.create_connection(lambda: channel, sock=sock)
+    channel.part = job.part(channel)
+    await channel.part.open()
     gc.collect()
-    gc.freeze()  # what is loaded now stays: looking through it again and again would only cost pauses
-    far.say("ready")
-    return await far.ended
+    gc.freeze()  # objects loaded so far are permanent; scanning them in each collection would only cause pauses
+    channel.send("ready")
+    return await channel.ended
 
 
 def main(fd: int, path: Path) -> None:
-    """An emulating process from beginning to end. It ends when the lab closes the line."""
+    """Runs an emulating process. It ends when the lab closes the channel."""
     import uvloop
 
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     job: Job = pickle.loads(path.read_bytes())  # written by the lab that started this process
-    code = uvloop.run(_play(job, fd))
+    code = uvloop.run(_run_job(job, fd))
     sys.stdout.flush()
     os._exit(code)
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
+def socket_pair() -> tuple[socket.socket, socket.socket]:
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -1,6 +1,6 @@
-"""The process that is discovery: HTTP over the Registry, one address for each proxy, so that it is known who
-asks. It owns these sockets and what discovery has told to whom; what it tells, and when, is the
-Registry's."""
+"""The discovery process: HTTP over the Registry, with one address per proxy so that the asking proxy is
+known. This module holds the sockets and what each proxy was last told; the content and timing of responses
+are decided by the Registry."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 from .control_channel import HelperChannel, JobContext, Message, Part
 from .server_connection import LINGER_0
 
-LONGEST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 PATH = "/v1/endpoints"
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryEndpoint:
-    """Where one proxy asks."""
+    """The address at which one proxy calls discovery."""
 
     proxy: str
     tier: int
@@ -47,22 +47,25 @@
 class DiscoveryJob:
     context: JobContext
     scenario: Scenario
-    desks: list[DiscoveryEndpoint]
-    nodes: list[tuple[NodeSpec, str]]  # those that stand at the beginning, and their host:port
-    unix_us: int  # Unix time where the run's own time begins
+    endpoints: list[DiscoveryEndpoint]
+    nodes: list[tuple[NodeSpec, str]]  # nodes present at the start, with their host:port
+    unix_us: int  # Unix time at which the run's own time begins
     changes: list[FaultEvent]
 
-    def part(self, far: HelperChannel) -> Part:
-        return Discovery(self, far)
+    def part(self, channel: HelperChannel) -> Part:
+        return Discovery(self, channel)
 
 
-class Ask(asyncio.Protocol):
-    """A proxy's connection. `ticket` is the call now on it, 0: none."""
+class DiscoveryConnection(asyncio.Protocol):
+    """A proxy's connection. `call_id` identifies the pending call; 0: none."""
 
     def __init__(
-        self, asked: Callable[[Ask, str], None], left: Callable[[Ask], None], desk: DiscoveryEndpoint
+        self,
+        on_request: Callable[[DiscoveryConnection, str], None],
+        on_disconnect: Callable[[DiscoveryConnection], None],
+        endpoint: DiscoveryEndpoint,
     ) -> None:
-        self.asked, self.left, self.endpoint = asked, left, desk
+        self.on_request, self.on_disconnect, self.endpoint = on_request, on_disconnect, endpoint
         self.transport: Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.call_id = 0
@@ -82,13 +85,13 @@
 
     def on_message_complete(self) -> None:
         url, self.url = self.url, b""
-        self.asked(self, url.decode("latin-1"))
+        self.on_request(self, url.decode("latin-1"))
 
     def eof_received(self) -> None:
-        self.left(self)
+        self.on_disconnect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.left(self)
+        self.on_disconnect(self)
 
     def answer(self, status: str, body: bytes) -> None:
         assert self.transport
@@ -103,113 +106,121 @@
 
 
 class Discovery:
-    def __init__(self, job: DiscoveryJob, far: HelperChannel) -> None:
-        self.job, self.channel = job, far
+    def __init__(self, job: DiscoveryJob, channel: HelperChannel) -> None:
+        self.job, self.channel = job, channel
         self.registry: Registry
         self.specs = {spec.id: spec for spec, _ in job.nodes}
-        self.calls: dict[int, Ask] = {}  # by ticket
-        self.told: dict[str, set[str]] = {}  # by proxy: the nodes that it was told of last
-        self.tickets = count(1)
-        self._wake: ScheduledCall | None = None
+        self.calls: dict[int, DiscoveryConnection] = {}  # by call id
+        self.last_listed: dict[str, set[str]] = {}  # by proxy: the nodes listed in its last response
+        self.call_ids = count(1)
+        self._timer: ScheduledCall | None = None
 
     async def open(self) -> None:
-        now = self.channel.clock.now()  # one moment for all: so they stand from the beginning
+        now = self.channel.clock.now()  # one time for all nodes, so that all count as present from the start
         self.registry = Registry(self.job.scenario, now)
         for spec, where in self.job.nodes:
             self.registry.set_node(now, spec.id, "SERVING", spec.tier, where, 0)
-        for desk in self.job.desks:
-            sock = listener(desk.host, desk.port)
-            await self.channel.loop.create_server(partial(Ask, self._asked, self._left, desk), sock=sock)
+        for endpoint in self.job.endpoints:
+            sock = listener(endpoint.host, endpoint.port)
+            await self.channel.loop.create_server(
+                partial(DiscoveryConnection, self._handle_request, self._handle_disconnect, endpoint),
+                sock=sock,
+            )
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message["do"] == "change":
-            self._change(self.job.changes[message["n"]])
+            self._apply_fault(self.job.changes[message["n"]])
         elif message["do"] == "set":
-            self._set(message)
-        self._turn()
+            self._set_node(message)
+        self._advance()
 
-    def _set(self, message: Message) -> None:
+    def _set_node(self, message: Message) -> None:
         spec = self.specs[message["place"]]
         node, since = message["node"], message["since"]
-        if node not in self.specs:  # it has taken the place of another
+        if node not in self.specs:  # a replacement for another node
             self.specs[node] = NodeSpec(node, spec.tier, spec.kind, spec.speed, spec.address)
         now = self.channel.clock.now()
         self.registry.set_node(now, node, message["phase"], spec.tier, message["where"], since)
 
-    def _change(self, change: FaultEvent) -> None:
+    def _apply_fault(self, change: FaultEvent) -> None:
         now = self.channel.clock.now()
         if change.kind == "discovery-down":
-            for ticket in self.registry.set_down(now, change.is_start):
-                if ask := self.calls.pop(ticket, None):
-                    ask.reset()
+            for call_id in self.registry.set_down(now, change.is_start):
+                if connection := self.calls.pop(call_id, None):
+                    connection.reset()
         elif change.kind == "discovery-lies":
             self.registry.set_false_deletions(
                 now, self.specs[change.targets[0]].tier, change.targets if change.is_start else ()
             )
 
-    # ------------------------------------------------------------ calls
+    # ------------------------------------------------------------ discovery calls
 
-    def _asked(self, ask: Ask, url: str) -> None:
+    def _handle_request(self, connection: DiscoveryConnection, url: str) -> None:
         parts = urlsplit(url)
         if parts.path != PATH:
-            return ask.answer("404 Not Found", b"")
+            return connection.answer("404 Not Found", b"")
         now, query = self.channel.clock.now(), parse_qs(parts.query)
         since = _number(query, "since")
-        wait_ms = min(_number(query, "timeout_ms") or 0, LONGEST_WAIT_MS)
-        ask.call_id = next(self.tickets)
-        self.calls[ask.call_id] = ask
-        if ask.endpoint.proxy:  # the lab itself asks aside
-            self.channel.facts.add(Polled(now, ask.endpoint.proxy))
+        wait_ms = min(_number(query, "timeout_ms") or 0, MAX_WAIT_MS)
+        connection.call_id = next(self.call_ids)
+        self.calls[connection.call_id] = connection
+        if connection.endpoint.proxy:  # the lab's own calls are not recorded
+            self.channel.facts.add(Polled(now, connection.endpoint.proxy))
         self.registry.receive_call(
-            now, ask.endpoint.proxy, ask.endpoint.tier, since, wait_ms * 1000, ask.call_id
+            now,
+            connection.endpoint.proxy,
+            connection.endpoint.tier,
+            since,
+            wait_ms * 1000,
+            connection.call_id,
         )
-        self._turn()
+        self._advance()
 
-    def _left(self, ask: Ask) -> None:
-        if self.calls.pop(ask.call_id, None):
-            self.registry.cancel_call(ask.call_id)
-        ask.call_id = 0
+    def _handle_disconnect(self, connection: DiscoveryConnection) -> None:
+        if self.calls.pop(connection.call_id, None):
+            self.registry.cancel_call(connection.call_id)
+        connection.call_id = 0
 
-    def _turn(self) -> None:
-        """Writes what is ready, and sets the time of the next."""
+    def _advance(self) -> None:
+        """Writes the responses that are ready and schedules the next call."""
         for answer in self.registry.advance(self.channel.clock.now()):
-            if ask := self.calls.pop(answer.call_id, None):
-                ask.call_id = 0
-                self._write(ask, answer)
-        if self._wake:
-            self._wake.cancel()
+            if connection := self.calls.pop(answer.call_id, None):
+                connection.call_id = 0
+                self._write(connection, answer)
+        if self._timer:
+            self._timer.cancel()
         due = self.registry.next_event_time()
-        self._wake = None if due is None else self.channel.clock.at(due, self._turn)
+        self._timer = None if due is None else self.channel.clock.call_at(due, self._advance)
 
-    def _write(self, ask: Ask, answer: RegistryResponse) -> None:
+    def _write(self, connection: DiscoveryConnection, answer: RegistryResponse) -> None:
         if answer.status != 200:
-            return ask.answer(f"{answer.status} Service Unavailable", b"")
+            return connection.answer(f"{answer.status} Service Unavailable", b"")
         members = [
             member_entry(
-                self.specs[shown.node], shown.host_port, shown.phase, self._unix_ms(shown.started_at_us)
+                self.specs[entry.node], entry.host_port, entry.phase, self._unix_ms(entry.started_at_us)
             )
-            for shown in answer.entries
+            for entry in answer.entries
         ]
         tree = {"revision": answer.revision, "complete": answer.complete, "members": members}
-        ask.answer("200 OK", json.dumps(tree).encode())
-        if ask.endpoint.proxy:
-            self._record(ask.endpoint.proxy, answer)
+        connection.answer("200 OK", json.dumps(tree).encode())
+        if connection.endpoint.proxy:
+            self._record(connection.endpoint.proxy, answer)
 
     def _record(self, proxy: str, answer: RegistryResponse) -> None:
-        """A node that a whole list leaves out has been told as gone."""
-        now, told = self.channel.clock.now(), self.told.setdefault(proxy, set())
-        for shown in answer.entries:
-            self.channel.facts.add(Told(now, proxy, shown.node, shown.phase, shown.started_at_us))
-        here = {shown.node for shown in answer.entries if shown.phase != PHASE_DELETED}
-        for node in sorted(told - here) if answer.complete else ():
+        """Records what the proxy was told. A node that a complete list leaves out counts as reported deleted."""
+        now, listed = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
+        for entry in answer.entries:
+            self.channel.facts.add(Told(now, proxy, entry.node, entry.phase, entry.started_at_us))
+        here = {entry.node for entry in answer.entries if entry.phase != PHASE_DELETED}
+        for node in sorted(listed - here) if answer.complete else ():
             self.channel.facts.add(Told(now, proxy, node, PHASE_DELETED))
-        gone = {shown.node for shown in answer.entries if shown.phase == PHASE_DELETED}
-        self.told[proxy] = here if answer.complete else (told | here) - gone
+        gone = {entry.node for entry in answer.entries if entry.phase == PHASE_DELETED}
+        self.last_listed[proxy] = here if answer.complete else (listed | here) - gone
 
     def _unix_ms(self, since_us: int) -> int:
         return (self.job.unix_us + since_us) // 1000 if since_us else 0
 
-    # ------------------------------------------------------------ the lab's questions
+    # ------------------------------------------------------------ requests from the lab
 
     def tick(self) -> None:
         return None
--- a/slatelab/live/emulation.py
+++ b/slatelab/live/emulation.py
@@ -1,6 +1,6 @@
-"""The emulating processes of a run, seen from the lab: the load generator, the nodes, discovery. It owns
-their start, the lines to them and the proof that each has handed over what it saw. It must never carry out a
-fault of the schedule, and never let a run go on when one of them has gone."""
+"""The emulating processes of a run, as the lab sees them: the load generator, the nodes and discovery. This
+module starts them, holds the channels to them and checks that each has handed over its facts. It applies
+no faults. If one of the processes ends early, the run fails."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from slatelab.engine import InvalidRunError
 
-from .control_channel import Job, JobContext, Message, Near, pair
+from .control_channel import Job, JobContext, LabChannel, Message, socket_pair
 from .discovery import DiscoveryJob
 from .load import LoadJob
 from .nodes import NodesJob
@@ -24,55 +24,62 @@
 from .supervisor import Child, ProcessSupervisor
 
 ROOT = Path(__file__).resolve().parents[2]
-STALLED_US = 50_000  # from here on a stall is told to the reader
+REPORTED_STALL_US = 50_000  # longer stalls are mentioned in the notes of the result
 
 
 class Helper:
-    """One emulating process. `done` is what it said at its end, `tick` what it said last of its state."""
+    """One emulating process. `final_message` is its `done` message, `last_tick` its most recent tick."""
 
-    def __init__(self, name: str, near: Near, child: Child, facts: Path) -> None:
-        self.name, self.near, self.child, self.facts = name, near, child, facts
+    def __init__(self, name: str, near: LabChannel, child: Child, facts: Path) -> None:
+        self.name, self.channel, self.child, self.facts = name, near, child, facts
         self.ready = asyncio.Event()
         self.handed_over = asyncio.Event()
-        self.done: Message | None = None
-        self.tick: Message = {}
+        self.final_message: Message | None = None
+        self.last_tick: Message = {}
 
-    def tell(self, do: str, **more: Any) -> None:
-        with suppress(OSError):  # its end is told by its process descriptor
-            self.near.tell(do, **more)
+    def send(self, command: str, **fields: Any) -> None:
+        with suppress(OSError):  # its end is reported through the process descriptor
+            self.channel.send(command, **fields)
 
 
 class Emulation:
-    """`said(helper, say, message)` hears of what the day must know; `fail` of what makes it invalid."""
+    """`on_message(helper, kind, message)` receives the messages that concern the run; `on_failure` receives
+    errors that make it invalid."""
 
     def __init__(
         self,
         scratch: Path,
-        keeper: ProcessSupervisor,
-        said: Callable[[Helper, str, Message], None],
-        fail: Callable[[Exception], None],
+        supervisor: ProcessSupervisor,
+        on_message: Callable[[Helper, str, Message], None],
+        on_failure: Callable[[Exception], None],
     ) -> None:
-        self.scratch, self.supervisor, self.said, self.fail = scratch, keeper, said, fail
+        self.scratch, self.supervisor, self.on_message, self.on_failure = (
+            scratch,
+            supervisor,
+            on_message,
+            on_failure,
+        )
         self.loop = asyncio.get_running_loop()
         self.helpers: list[Helper] = []
 
     def start(
         self, plan: Plan, seed: int, folder: Path, base: int, unix_us: int, stall: tuple[int, int] | None
     ) -> None:
-        """`base`: where the run's own time begins, of CLOCK_MONOTONIC; `unix_us`: the same as Unix time."""
+        """`base`: CLOCK_MONOTONIC time at which the run's own time begins; `unix_us`: the same moment as Unix
+        time."""
         scenario, changes = plan.scenario, plan.changes
-        stand = [(site.spec, f"{site.host}:{site.port}") for site in plan.sites]
-        desks = [*plan.desks.values(), *plan.asides]
-        doors = [plan.doors[proxy.name] for proxy in plan.proxies if not proxy.tier]
+        nodes_at_start = [(site.spec, f"{site.host}:{site.port}") for site in plan.locations]
+        endpoints = [*plan.discovery_endpoints.values(), *plan.lab_endpoints]
+        proxy_addresses = [plan.proxy_addresses[proxy.name] for proxy in plan.proxies if not proxy.tier]
         common = partial(self._common, base)
         self.discovery = self._start(
-            DiscoveryJob(common("discovery"), scenario, desks, stand, unix_us, changes)
+            DiscoveryJob(common("discovery"), scenario, endpoints, nodes_at_start, unix_us, changes)
         )
         self.nodes = [
             self._start(NodesJob(common(f"nodes-{i}"), scenario, seed, sites, changes))
-            for i, sites in enumerate(plan.shares())
+            for i, sites in enumerate(plan.locations_by_process())
         ]
-        self.load = self._start(LoadJob(common("load"), scenario, seed, folder, doors, stall))
+        self.load = self._start(LoadJob(common("load"), scenario, seed, folder, proxy_addresses, stall))
 
     def _common(self, base: int, name: str) -> JobContext:
         return JobContext(name, base, self.scratch / f"{name}.jsonl")
@@ -80,87 +87,87 @@
     def _start(self, job: Job) -> Helper:
         name, path = job.context.name, self.scratch / f"{job.context.name}.job"
         path.write_bytes(pickle.dumps(job))
-        ours, theirs = pair()
-        command = [sys.executable, "-m", "slatelab.live.helper", str(theirs.fileno()), str(path)]
-        env = {**os.environ, "PYTHONPATH": str(ROOT)}  # slatelab as the lab itself has it
-        with theirs, (self.scratch / f"{name}.log").open("wb") as log:
+        lab_end, process_end = socket_pair()
+        command = [sys.executable, "-m", "slatelab.live.helper", str(process_end.fileno()), str(path)]
+        env = {**os.environ, "PYTHONPATH": str(ROOT)}  # the same slatelab as the lab's own
+        with process_end, (self.scratch / f"{name}.log").open("wb") as log:
             child = self.supervisor.start(
-                name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(theirs.fileno(),)
+                name, command, cwd=ROOT, env=env, stderr=log, pass_fds=(process_end.fileno(),)
             )
-        helper = Helper(name, Near(ours), child, job.context.facts)
+        helper = Helper(name, LabChannel(lab_end), child, job.context.facts)
         self.helpers.append(helper)
-        self.loop.add_reader(ours, self._guarded, self._hear, helper)
-        self.loop.add_reader(child.pidfd, self._guarded, self._ended, helper)
+        self.loop.add_reader(lab_end, self._guarded, self._receive, helper)
+        self.loop.add_reader(child.pidfd, self._guarded, self._process_exited, helper)
         return helper
 
-    def tell_all(self, do: str, **more: Any) -> None:
+    def send_to_all(self, command: str, **fields: Any) -> None:
         for helper in self.helpers:
-            helper.tell(do, **more)
+            helper.send(command, **fields)
 
-    def tell_nodes(self, do: str, **more: Any) -> None:
+    def send_to_nodes(self, command: str, **fields: Any) -> None:
         for helper in self.nodes:
-            helper.tell(do, **more)
+            helper.send(command, **fields)
 
     async def ready(self) -> None:
         await asyncio.gather(*(helper.ready.wait() for helper in self.helpers))
 
     async def hand_over(self) -> None:
-        self.tell_all("stop")
+        self.send_to_all("stop")
         await asyncio.gather(*(helper.handed_over.wait() for helper in self.helpers))
 
     @property
-    def open(self) -> int:
-        """Calls of nodes that were under way at the last tick."""
-        return sum(helper.tick.get("open", 0) for helper in self.nodes)
+    def open_calls(self) -> int:
+        """Downstream calls of nodes that were in progress at the last tick."""
+        return sum(helper.last_tick.get("open", 0) for helper in self.nodes)
 
     def stalls(self) -> list[str]:
-        """Lines for the reader of the result."""
-        worst = {helper.name: (helper.done or {}).get("worst_us", 0) for helper in self.helpers}
+        """Notes on stalls for the reader of the result."""
+        worst = {helper.name: (helper.final_message or {}).get("worst_us", 0) for helper in self.helpers}
         return [
-            f"{name} stood still for up to {us / 1000:.0f} ms"
+            f"{name} stalled for up to {us / 1000:.0f} ms"
             for name, us in worst.items()
-            if us > STALLED_US
+            if us > REPORTED_STALL_US
         ]
 
-    # ------------------------------------------------------------ what they say
+    # ------------------------------------------------------------ messages from the processes
 
     def _guarded(self, call: Callable[[Helper], None], helper: Helper) -> None:
         try:
             call(helper)
         except Exception as problem:
-            self.fail(problem)
+            self.on_failure(problem)
 
-    def _hear(self, helper: Helper) -> None:
-        messages = helper.near.hear()
+    def _receive(self, helper: Helper) -> None:
+        messages = helper.channel.receive()
         if messages is None:
-            self.loop.remove_reader(helper.near.sock)
+            self.loop.remove_reader(helper.channel.sock)
         for message in messages or ():
-            self._take(helper, message)
+            self._handle_message(helper, message)
 
-    def _take(self, helper: Helper, message: Message) -> None:
-        say = message.pop("say")
-        if say == "ready":
+    def _handle_message(self, helper: Helper, message: Message) -> None:
+        kind = message.pop("say")
+        if kind == "ready":
             helper.ready.set()
-        elif say == "done":
-            helper.done = message
+        elif kind == "done":
+            helper.final_message = message
             helper.handed_over.set()
-        elif say == "invalid":
-            self.fail(InvalidRunError(message["text"]))
+        elif kind == "invalid":
+            self.on_failure(InvalidRunError(message["text"]))
         else:
-            if say == "tick":
-                helper.tick = message
-            self.said(helper, say, message)
+            if kind == "tick":
+                helper.last_tick = message
+            self.on_message(helper, kind, message)
 
-    def _ended(self, helper: Helper) -> None:
+    def _process_exited(self, helper: Helper) -> None:
         self.loop.remove_reader(helper.child.pidfd)
-        self.loop.remove_reader(helper.near.sock)
-        while (messages := helper.near.hear()) is not None:  # its last words come first
+        self.loop.remove_reader(helper.channel.sock)
+        while (messages := helper.channel.receive()) is not None:  # messages still buffered are handled first
             for message in messages:
-                self._take(helper, message)
+                self._handle_message(helper, message)
         code = self.supervisor.reap(helper.child)
-        if helper.done is None:
+        if helper.final_message is None:
             lines = (self.scratch / f"{helper.name}.log").read_text(errors="replace").splitlines()
-            said = f": {lines[-1]}" if lines else ""
+            last_line = f": {lines[-1]}" if lines else ""
             raise InvalidRunError(
-                f"{helper.name}, a process of the lab, ended by itself with code {code}{said}"
+                f"{helper.name}, a process of the lab, ended by itself with code {code}{last_line}"
             )
--- a/slatelab/live/logs.py
+++ b/slatelab/live/logs.py
@@ -1,6 +1,6 @@
-"""Lines of a proxy's log as facts. It owns their three forms: JSON objects and logfmt, both with time, level,
-topic, msg and further fields, and `slatehub: topic: text`. Pure, and never raises: a line in no known form is
-text."""
+"""Parses lines of a proxy's log into facts. Three forms are known: JSON objects and logfmt, both with time,
+level, topic, msg and further fields, and `slatehub: topic: text`. Pure, and never raises: a line in no
+known form is returned as text."""
 
 from __future__ import annotations
 
@@ -8,59 +8,62 @@
 import re
 from typing import Any, NamedTuple
 
-LONGEST = 4000
+MAX_LINE_CHARS = 4000
 PAIR = re.compile(r'([A-Za-z_][\w.-]*)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?:\s+|$)')
 PLAIN = re.compile(r"slatehub: ([\w-]{1,40}): (.*)", re.DOTALL)
-TIMES = ("time", "ts", "at")
+TIME_FIELDS = ("time", "ts", "at")
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     level: str
     topic: str
     text: str
     fields: dict[str, str]
 
 
-def parse(line: str) -> Line:
-    """One line, without its end. `level` is "" where the line does not say."""
-    line = line[:LONGEST]
+def parse(line: str) -> LogLine:
+    """Parses one line without its newline. `level` is "" if the line does not state one."""
+    line = line[:MAX_LINE_CHARS]
     if (fields := _json(line) or _logfmt(line)) is not None:
-        for key in TIMES:
+        for key in TIME_FIELDS:
             fields.pop(key, None)
         level, topic = fields.pop("level", ""), fields.pop("topic", "")
-        return Line(level.lower(), topic, fields.pop("msg", ""), fields)
-    if found := PLAIN.fullmatch(line):
-        return Line("error" if found[1] == "fault" else "info", found[1], found[2], {})
-    return Line("", "", line, {})
+        return LogLine(level.lower(), topic, fields.pop("msg", ""), fields)
+    if match := PLAIN.fullmatch(line):
+        return LogLine("error" if match[1] == "fault" else "info", match[1], match[2], {})
+    return LogLine("", "", line, {})
 
 
 def _json(line: str) -> dict[str, str] | None:
     if not line.startswith("{"):
         return None
     try:
-        tree = json.loads(line)
+        parsed = json.loads(line)
     except (ValueError, RecursionError):
         return None
-    return {str(key): _word(value) for key, value in tree.items()} if isinstance(tree, dict) else None
+    return (
+        {str(key): _field_text(value) for key, value in parsed.items()} if isinstance(parsed, dict) else None
+    )
 
 
-def _word(value: Any) -> str:
+def _field_text(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
 def _logfmt(line: str) -> dict[str, str] | None:
-    """Whole lines of key=value only, among them `msg` or `level`: a sentence with a "=" in it is none."""
+    """Only accepts lines that consist entirely of key=value pairs including `msg` or `level`, so that a
+    sentence containing "=" is not parsed."""
     fields, at = {}, 0
     while at < len(line):
-        found = PAIR.match(line, at)
-        if not found:
+        match = PAIR.match(line, at)
+        if not match:
             return None
-        fields[found[1]] = _bare(found[2])
-        at = found.end()
+        fields[match[1]] = _unquoted(match[2])
+        at = match.end()
     return fields if "msg" in fields or "level" in fields else None
 
 
-def _bare(value: str) -> str:
+def _unquoted(value: str) -> str:
     if not value.startswith('"'):
         return value
-    return re.sub(r"\\(.)", lambda found: "\n" if found[1] == "n" else found[1], value[1:-1])
+    return re.sub(r"\\(.)", lambda match: "\n" if match[1] == "n" else match[1], value[1:-1])
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -1,5 +1,5 @@
-"""The process that hosts nodes: it tells its places what befalls them, as the lab says. It owns the way from
-the lab's messages to the places, and nothing of what a node does."""
+"""The process that hosts emulated nodes: it applies faults to them as the lab directs. This module passes the
+lab's messages on to the nodes; the behaviour of a node is implemented elsewhere."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .control_channel import HelperChannel, JobContext, Message, Part
 from .emulated_node import EmulatedNode, NodeLocation
 
-SWEEP_S = 0.5
+IDLE_CHECK_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,31 +23,33 @@
     context: JobContext
     scenario: Scenario
     seed: int
-    sites: list[NodeLocation]
-    changes: list[FaultEvent]  # of the whole day; the lab says by number when one is due
+    locations: list[NodeLocation]
+    changes: list[FaultEvent]  # of the whole run; the lab sends the index of each change when it is due
 
-    def part(self, far: HelperChannel) -> Part:
-        return Nodes(self, far)
+    def part(self, channel: HelperChannel) -> Part:
+        return NodeHost(self, channel)
 
 
-class Nodes:
-    def __init__(self, job: NodesJob, far: HelperChannel) -> None:
-        self.job, self.channel = job, far
+class NodeHost:
+    def __init__(self, job: NodesJob, channel: HelperChannel) -> None:
+        self.job, self.channel = job, channel
         self.active_faults = ActiveFaults(job.scenario)
-        draw = RandomStreams(job.seed)
+        random_streams = RandomStreams(job.seed)
         self.emulated_nodes = {
-            site.spec.id: EmulatedNode(far, job.scenario, draw, site, partial(self._told, site.spec.id))
-            for site in job.sites
+            location.spec.id: EmulatedNode(
+                channel, job.scenario, random_streams, location, partial(self._notify, location.spec.id)
+            )
+            for location in job.locations
         }
 
     async def open(self) -> None:
-        for name, place in self.emulated_nodes.items():
-            place.start(False, self.active_faults.conditions_for(name), False)
-        self._sweep()
+        for name, node in self.emulated_nodes.items():
+            node.start(False, self.active_faults.conditions_for(name), False)
+        self._close_idle()
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message["do"] == "change":
-            self._change(self.job.changes[message["n"]])
+            self._apply_fault(self.job.changes[message["n"]])
         elif message["do"] == "start":
             name = message["place"]
             self.emulated_nodes[name].restart(
@@ -56,46 +58,46 @@
                 self.active_faults.is_black_holed(name),
             )
 
-    def _change(self, change: FaultEvent) -> None:
+    def _apply_fault(self, change: FaultEvent) -> None:
         for name, condition in self.active_faults.apply(change):
-            if place := self.emulated_nodes.get(name):
-                place.set_condition(condition)
+            if node := self.emulated_nodes.get(name):
+                node.set_condition(condition)
         for name in change.targets:
-            if place := self.emulated_nodes.get(name):
-                self._befall(place, name, change)
+            if node := self.emulated_nodes.get(name):
+                self._apply_to_node(node, name, change)
 
-    def _befall(self, place: EmulatedNode, name: str, change: FaultEvent) -> None:
+    def _apply_to_node(self, node: EmulatedNode, name: str, change: FaultEvent) -> None:
         if change.kind == "black-hole" and self.active_faults.is_black_holed(name):
-            place.isolate()
+            node.isolate()
         elif change.kind == "black-hole":
-            place.end_isolation()
-        elif deed := DEEDS.get(change.kind):
-            deed(place, change)
+            node.end_isolation()
+        elif action := FAULT_ACTIONS.get(change.kind):
+            action(node, change)
 
     def tick(self) -> Message:
         nodes = [
             (p.spec.id, p.state, p.simulator.pending_requests if p.simulator else 0)
             for p in self.emulated_nodes.values()
         ]
-        return {"nodes": nodes, "open": sum(len(p.outs) for p in self.emulated_nodes.values())}
+        return {"nodes": nodes, "open": sum(len(p.downstream_calls) for p in self.emulated_nodes.values())}
 
     def close(self) -> Message:
-        for place in self.emulated_nodes.values():
-            place.close()
+        for node in self.emulated_nodes.values():
+            node.close()
         return {"open": 0}
 
-    def _told(self, name: str, say: str, **more: Any) -> None:
-        self.channel.say(say, place=name, **more)
+    def _notify(self, name: str, kind: str, **fields: Any) -> None:
+        self.channel.send(kind, place=name, **fields)
 
-    def _sweep(self) -> None:
-        for place in self.emulated_nodes.values():
-            place.close_idle()
-        self.channel.loop.call_later(SWEEP_S, self._sweep)
+    def _close_idle(self) -> None:
+        for node in self.emulated_nodes.values():
+            node.close_idle()
+        self.channel.loop.call_later(IDLE_CHECK_S, self._close_idle)
 
 
-DEEDS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
-    "kill": lambda place, change: place.crash("killed"),
-    "stop": lambda place, change: place.crash("stopped"),
-    "drain": lambda place, change: place.drain(),
-    "reset": lambda place, change: place.break_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
+FAULT_ACTIONS: dict[str, Callable[[EmulatedNode, FaultEvent], None]] = {
+    "kill": lambda node, change: node.crash("killed"),
+    "stop": lambda node, change: node.crash("stopped"),
+    "drain": lambda node, change: node.drain(),
+    "reset": lambda node, change: node.reset_some(change.spec.part or 1.0, f"{change.fault} {change.at}"),
 }
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -1,6 +1,5 @@
-"""What stands where in a run: nodes, proxies and discovery at addresses of this machine, and the day's
-changes. It owns the layout, made once, and the way a proxy's file is written. It must never start
-anything."""
+"""The layout of a run: nodes, proxies and discovery at addresses of this machine, and the fault schedule. The
+layout is made once. Also writes the proxies' configuration files; starts no process."""
 
 from __future__ import annotations
 
@@ -21,10 +20,13 @@
 from .addresses import Addresses
 from .discovery import DiscoveryEndpoint
 from .emulated_node import NodeLocation
-from .front import Door
+from .front import ProxyAddress
 
-MOST_PROXIES = 300  # processes of some 30 MB each
-NODES_EACH, RATE_EACH = 40, 1500  # nodes, and requests a second, for one emulating process
+MAX_PROXIES = 300  # each process takes about 30 MB
+NODES_PER_PROCESS, REQUESTS_PER_S_PER_PROCESS = (
+    40,
+    1500,
+)  # limits for one emulating process
 
 
 @dataclass(slots=True)
@@ -34,85 +36,110 @@
     nodes: list[NodeSpec]
     proxies: list[ProxySpec]
     changes: list[FaultEvent]
-    doors: dict[str, Door]  # by proxy
-    desks: dict[str, DiscoveryEndpoint]  # by proxy
-    asides: list[DiscoveryEndpoint]  # by tier: where the lab itself asks, unrecorded
-    sites: list[NodeLocation]
-    tables: dict[str, str] = field(
+    proxy_addresses: dict[str, ProxyAddress]  # by proxy
+    discovery_endpoints: dict[str, DiscoveryEndpoint]  # by proxy
+    lab_endpoints: list[
+        DiscoveryEndpoint
+    ]  # by tier: where the lab itself calls; these calls are not recorded
+    locations: list[NodeLocation]
+    operator_tables: dict[str, str] = field(
         default_factory=dict
-    )  # of the operator's file, beside the usual ones; by proxy
+    )  # additional tables of the operator's file; by proxy
 
-    def where(self, place: str) -> str:
-        """host:port of a place."""
-        return next(f"{site.host}:{site.port}" for site in self.sites if site.spec.id == place)
+    def node_address(self, node_id: str) -> str:
+        """host:port of a node location."""
+        return next(
+            f"{location.host}:{location.port}" for location in self.locations if location.spec.id == node_id
+        )
 
     def members(self, tier: int) -> list[dict[str, Any]]:
-        """The nodes of a tier as they stand at the beginning."""
+        """The discovery entries of a tier's nodes at the start."""
         return [
-            settings.member_entry(site.spec, f"{site.host}:{site.port}", "SERVING", 0)
-            for site in self.sites
-            if site.spec.tier == tier
+            settings.member_entry(location.spec, f"{location.host}:{location.port}", "SERVING", 0)
+            for location in self.locations
+            if location.spec.tier == tier
         ]
 
-    def shares(self) -> list[list[NodeLocation]]:
-        """The places, dealt out to as many processes as they need."""
+    def locations_by_process(self) -> list[list[NodeLocation]]:
+        """Distributes the node locations over as many processes as they need."""
         count = min(
-            _most_processes(), max(ceil(len(self.sites) / NODES_EACH), ceil(_rate(self.scenario) / RATE_EACH))
+            _max_processes(),
+            max(
+                ceil(len(self.locations) / NODES_PER_PROCESS),
+                ceil(_total_request_rate(self.scenario) / REQUESTS_PER_S_PER_PROCESS),
+            ),
         )
-        return [self.sites[i::count] for i in range(min(count, len(self.sites)))]
+        return [self.locations[i::count] for i in range(min(count, len(self.locations)))]
 
-    def operator(self, proxy: ProxySpec) -> str:
-        """The operator's file of a proxy; "" where all is as usual."""
-        usual = type(self.scenario.proxy.storms)()
-        changed = self.scenario.proxy.storms.model_dump().items() - usual.model_dump().items()
+    def operator_config(self, proxy: ProxySpec) -> str:
+        """The operator's file of a proxy; "" if all settings have their defaults."""
+        defaults = type(self.scenario.proxy.storms)()
+        changed = self.scenario.proxy.storms.model_dump().items() - defaults.model_dump().items()
         storms = (
             "[storms]\n" + "".join(f"{k} = {json.dumps(v)}\n" for k, v in sorted(changed)) if changed else ""
         )
-        return storms + self.tables.get(proxy.name, "")
+        return storms + self.operator_tables.get(proxy.name, "")
 
     def write_config(self, path: Path, proxy: ProxySpec, members: list[dict[str, Any]], life: int) -> None:
-        """Put in place whole, as a proxy may read it at any moment. Each life has a seed of its own."""
-        door, desk = self.doors[proxy.name], self.desks[proxy.name]
+        """Writes a proxy's configuration file. The file is replaced atomically, as a proxy may read it at any
+        time. Each life of a proxy has its own seed."""
+        address, endpoint = self.proxy_addresses[proxy.name], self.discovery_endpoints[proxy.name]
         seed = f"{self.random_streams.stream('proxy', proxy.name, life).getrandbits(64):016x}"
-        listen, asks = f"{door.host}:{door.port}", f"{desk.host}:{desk.port}"
-        tree = settings.build_config(self.scenario, proxy, listen, asks, members, seed)
+        listen, discovery = f"{address.host}:{address.port}", f"{endpoint.host}:{endpoint.port}"
+        tree = settings.build_config(self.scenario, proxy, listen, discovery, members, seed)
         draft = path.with_suffix(".new")
         draft.write_text(json.dumps(tree, indent=1))
         os.replace(draft, path)
 
 
-def plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
-    """Raises ScenarioError, and InvalidRunError where this machine cannot hold it."""
+def make_plan(scenario: Scenario, seed: int, at: Addresses) -> Plan:
+    """Lays out a run. Raises ScenarioError, and InvalidRunError if this machine cannot hold it."""
     if scenario.proxy.kind != "slatehub":
         raise InvalidRunError(f"proxy.kind {scenario.proxy.kind!r} is known to the engine model alone")
-    draw = RandomStreams(seed)
-    nodes = fleet.build_nodes(scenario, draw)
+    random_streams = RandomStreams(seed)
+    nodes = fleet.build_nodes(scenario, random_streams)
     proxies = fleet.build_proxies(scenario, nodes)
-    if len(proxies) > MOST_PROXIES:
-        raise InvalidRunError(f"{len(proxies)} proxies: more than the {MOST_PROXIES} that a live run starts")
-    doors = {p.name: Door(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
-    desks = {
+    if len(proxies) > MAX_PROXIES:
+        raise InvalidRunError(f"{len(proxies)} proxies: more than the {MAX_PROXIES} that a live run starts")
+    proxy_addresses = {p.name: ProxyAddress(p.name, at.proxy(i), at.port) for i, p in enumerate(proxies)}
+    discovery_endpoints = {
         p.name: DiscoveryEndpoint(p.name, p.tier, at.discovery(i), at.port) for i, p in enumerate(proxies)
     }
-    asides = [
+    lab_endpoints = [
         DiscoveryEndpoint("", tier, at.discovery(len(proxies) + tier), at.port)
         for tier in range(len(scenario.tiers))
     ]
-    own = {p.owner_node: p.name for p in proxies if p.owner_node}
-    sites = [
-        NodeLocation(n, at.node(i), at.port, own.get(n.id, ""), doors[own[n.id]].host if n.id in own else "")
+    proxy_of_node = {p.owner_node: p.name for p in proxies if p.owner_node}
+    locations = [
+        NodeLocation(
+            n,
+            at.node(i),
+            at.port,
+            proxy_of_node.get(n.id, ""),
+            proxy_addresses[proxy_of_node[n.id]].host if n.id in proxy_of_node else "",
+        )
         for i, n in enumerate(nodes)
     ]
-    changes = faults.build_fault_schedule(scenario, draw, nodes, proxies)
-    return Plan(scenario, draw, nodes, proxies, changes, doors, desks, asides, sites)
-
-
-def _most_processes() -> int:
+    changes = faults.build_fault_schedule(scenario, random_streams, nodes, proxies)
+    return Plan(
+        scenario,
+        random_streams,
+        nodes,
+        proxies,
+        changes,
+        proxy_addresses,
+        discovery_endpoints,
+        lab_endpoints,
+        locations,
+    )
+
+
+def _max_processes() -> int:
     return max(1, (os.cpu_count() or 2) // 2 - 1)
 
 
-def _rate(scenario: Scenario) -> float:
-    """Requests a second at all nodes together, roughly."""
+def _total_request_rate(scenario: Scenario) -> float:
+    """Approximate requests per second at all nodes together."""
     orders = sum(max(stream.rate, stream.to_rate) for stream in scenario.arrivals)
     calls = [prod(tier.calls for tier in scenario.tiers[:t]) for t in range(len(scenario.tiers))]
     return max(1.0, orders * sum(calls))
--- a/slatelab/live/proxy_processes.py
+++ b/slatelab/live/proxy_processes.py
@@ -1,6 +1,6 @@
-"""The proxies of a run as processes: started, asked whether they are ready, told to end, killed, and their
-logs read. It owns these processes' lives and the facts about them. It must never decide when one is to end,
-nor look at a request."""
+"""The proxy processes of a run: started, polled for readiness, stopped, killed, and their logs read. This
+module records the facts about them. When a proxy is to end is decided elsewhere; requests are not examined
+here."""
 
 from __future__ import annotations
 
@@ -23,53 +23,59 @@
 from .plan import Plan
 from .supervisor import Child, ProcessSupervisor
 
-READY_WITHIN_S = 30.0
-LOOK_EVERY_S = 0.05
-NOTICED_S = 1.0  # until the front notices that a proxy has died
-WITHDRAWN_S = 0.3  # after SIGTERM, until the front sends no new connection
-MOST_LINES = 200_000  # of all logs of a run, as facts
-MOST_BYTES = 64 * 1024 * 1024  # of one log file
-KEPT = 5  # last lines, for messages
+READY_TIMEOUT_S = 30.0
+READY_POLL_S = 0.05
+CRASH_NOTICE_S = 1.0  # delay after which the front layer notices that a proxy has died
+STOP_NOTICE_S = 0.3  # delay after SIGTERM until the front layer sends no new connection
+MAX_LOG_FACTS = 200_000  # log lines of a whole run recorded as facts
+MAX_LOG_BYTES = 64 * 1024 * 1024  # size of one log file
+LAST_LINES = 5  # last lines kept for error messages
 
 
-class Proxy:
-    """One proxy over all its lives. `state`: down, starting, up, stopping. `ends_as`: how the process now
-    running is to end ("": not at all), so that any other end is a crash."""
+class ProxyProcess:
+    """One proxy over all its lives. `state`: down, starting, up, stopping. `expected_end`: how the running
+    process is meant to end ("": not at all); any other end is a crash."""
 
-    def __init__(self, crew: Crew, spec: ProxySpec) -> None:
-        self.crew, self.spec, self.name = crew, spec, spec.name
-        self.config = crew.folder / f"{spec.name}.json"
+    def __init__(self, fleet: ProxyFleet, spec: ProxySpec) -> None:
+        self.fleet, self.spec, self.name = fleet, spec, spec.name
+        self.config = fleet.folder / f"{spec.name}.json"
         self.state = "down"
-        self.ends_as = ""
+        self.expected_end = ""
         self.life = 0
         self.child: Child | None = None
         self.ready = asyncio.Event()
-        self.gone = asyncio.Event()
-        self.gone.set()
-        self.wanted_again = False
-        self.last: deque[str] = deque(maxlen=KEPT)
-        self._rest = b""
+        self.exited = asyncio.Event()
+        self.exited.set()
+        self.restart_wanted = False
+        self.last_lines: deque[str] = deque(maxlen=LAST_LINES)
+        self._partial_line = b""
 
     # ------------------------------------------------------------ lives
 
     async def start(self) -> None:
-        """Starts it with the nodes that discovery shows now; one that still runs is started again once it has
-        ended."""
+        """Starts the proxy with the nodes that discovery lists now. A proxy that is still stopping is started
+        again once it has ended."""
         if self.child:
-            self.wanted_again = self.state == "stopping"
+            self.restart_wanted = self.state == "stopping"
             return
-        self.wanted_again = False
-        self.state, self.ends_as = "starting", ""
+        self.restart_wanted = False
+        self.state, self.expected_end = "starting", ""
         self.ready.clear()
-        self.gone.clear()
+        self.exited.clear()
         life = self.life = self.life + 1
-        members = await self.crew.members(self.spec.tier) if life > 1 else self.crew.known[self.spec.tier]
+        members = (
+            await self.fleet.members(self.spec.tier) if life > 1 else self.fleet.known_members[self.spec.tier]
+        )
         if self.life == life and self.state == "starting":
             self._launch(members)
 
     def _launch(self, members: list[dict[str, Any]]) -> None:
-        crew, door, desk = self.crew, self.crew.plan.doors[self.name], self.crew.plan.desks[self.name]
-        crew.plan.write_config(self.config, self.spec, members, self.life)
+        fleet, address, endpoint = (
+            self.fleet,
+            self.fleet.plan.proxy_addresses[self.name],
+            self.fleet.plan.discovery_endpoints[self.name],
+        )
+        fleet.plan.write_config(self.config, self.spec, members, self.life)
         env = {
             key: value
             for key, value in os.environ.items()
@@ -78,115 +84,117 @@
         env |= {
             "EDGE_CONFIG": str(self.config),
             "EDGE_NAME": self.name,
-            "EDGE_LISTEN": f"{door.host}:{door.port}",
-            "EDGE_DISCOVERY": f"{desk.host}:{desk.port}",
+            "EDGE_LISTEN": f"{address.host}:{address.port}",
+            "EDGE_DISCOVERY": f"{endpoint.host}:{endpoint.port}",
         }
-        if own := crew.plan.operator(
+        if own := fleet.plan.operator_config(
             self.spec
-        ):  # an older tree does not know the variable, and goes on without
+        ):  # an older revision ignores this variable and runs without it
             env["SLATEHUB_OPERATOR"] = str(self.config.with_suffix(".toml"))
             self.config.with_suffix(".toml").write_text(own)
         reading, writing = os.pipe()
         command = [sys.executable, "-B", "-m", "slatehub", "serve"]
         try:
-            self.child = crew.supervisor.start(self.name, command, cwd=crew.tree, env=env, stderr=writing)
+            self.child = fleet.supervisor.start(
+                self.name, command, cwd=fleet.source_tree, env=env, stderr=writing
+            )
         finally:
             os.close(writing)
-        log = (crew.folder / f"{self.name}.log").open("ab")
+        log = (fleet.folder / f"{self.name}.log").open("ab")
         os.set_blocking(reading, False)
-        crew.loop.add_reader(reading, self._read, reading, log)
-        crew.loop.add_reader(self.child.pidfd, crew.guarded, self._ended, self.child)
-        crew.spawn(self._look(self.life))
+        fleet.loop.add_reader(reading, self._read, reading, log)
+        fleet.loop.add_reader(self.child.pidfd, fleet.guarded, self._ended, self.child)
+        fleet.spawn(self._poll_ready(self.life))
 
-    async def _look(self, life: int) -> None:
-        """Asks until it is ready."""
-        door = self.crew.plan.doors[self.name]
+    async def _poll_ready(self, life: int) -> None:
+        """Polls until the proxy is ready."""
+        address = self.fleet.plan.proxy_addresses[self.name]
         while self.life == life and self.state == "starting":
-            status, _ = await fetch(door.host, door.port, "/ready")
+            status, _ = await fetch(address.host, address.port, "/ready")
             if status == 200 and self.life == life and self.state == "starting":
                 self.state = "up"
-                self.crew.add(ProxyUp(self.crew.now(), self.name, self.spec.tier))
-                self.crew.front(self.spec, True)
+                self.fleet.add_fact(ProxyUp(self.fleet.now(), self.name, self.spec.tier))
+                self.fleet.on_front_change(self.spec, True)
                 self.ready.set()
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(READY_POLL_S)
 
     def kill(self) -> None:
-        """SIGKILL; nothing if it is down."""
+        """Sends SIGKILL; does nothing if it is down."""
         if self.child is None:
-            self.life += 1  # one that is about to be launched is not
+            self.life += 1  # prevents a launch that is already pending
             self.state = "down"
-            self.gone.set()
+            self.exited.set()
             return
-        self._down("killed")
+        self._record_down("killed")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.supervisor.signal(self.child, signal.SIGKILL)
-        self._leave_front(NOTICED_S)
+        self.fleet.supervisor.signal(self.child, signal.SIGKILL)
+        self._leave_front(CRASH_NOTICE_S)
 
     def freeze(self, begins: bool) -> None:
-        """SIGSTOP or SIGCONT; nothing if it is down."""
+        """Sends SIGSTOP or SIGCONT; does nothing if it is down."""
         if self.child:
-            self.crew.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
+            self.fleet.supervisor.signal(self.child, signal.SIGSTOP if begins else signal.SIGCONT)
 
     def stop(self) -> None:
-        """SIGTERM; nothing if it is down or stopping."""
+        """Sends SIGTERM; does nothing if it is down or stopping."""
         if self.child is None or self.state == "stopping":
             return
-        self._down("planned")
+        self._record_down("planned")
         self.state = "stopping"
         self.ready.clear()
-        self.crew.supervisor.signal(self.child, signal.SIGTERM)
-        self._leave_front(WITHDRAWN_S)
+        self.fleet.supervisor.signal(self.child, signal.SIGTERM)
+        self._leave_front(STOP_NOTICE_S)
 
     def stop_now(self) -> None:
-        """SIGKILL to one that has been told to stop and has not."""
+        """Sends SIGKILL if the proxy was told to stop and still runs."""
         if self.child and self.state == "stopping":
             self.kill()
 
     async def reload(self) -> None:
-        """Its file written anew with the nodes that discovery shows now, then SIGHUP."""
-        members = await self.crew.members(self.spec.tier)
+        """Rewrites the configuration with the nodes that discovery lists now, then sends SIGHUP."""
+        members = await self.fleet.members(self.spec.tier)
         if self.child and self.state == "up":
-            self.crew.plan.write_config(self.config, self.spec, members, self.life)
-            self.crew.supervisor.signal(self.child, signal.SIGHUP)
+            self.fleet.plan.write_config(self.config, self.spec, members, self.life)
+            self.fleet.supervisor.signal(self.child, signal.SIGHUP)
 
-    def _down(self, why: str) -> None:
-        if self.ends_as != why:
-            self.ends_as = why
-            self.crew.add(ProxyDown(self.crew.now(), self.name, why))
+    def _record_down(self, reason: str) -> None:
+        if self.expected_end != reason:
+            self.expected_end = reason
+            self.fleet.add_fact(ProxyDown(self.fleet.now(), self.name, reason))
 
     def _leave_front(self, after_s: float) -> None:
         life = self.life
 
         def leave() -> None:
             if self.life == life:
-                self.crew.front(self.spec, False)
+                self.fleet.on_front_change(self.spec, False)
 
-        self.crew.loop.call_later(after_s, leave)
+        self.fleet.loop.call_later(after_s, leave)
 
     def _ended(self, child: Child) -> None:
-        self.crew.loop.remove_reader(child.pidfd)
-        code = self.crew.supervisor.reap(child)
+        self.fleet.loop.remove_reader(child.pidfd)
+        code = self.fleet.supervisor.reap(child)
         self.child = None
-        if self.ends_as == "planned":
-            self._down("exited")
-        elif not self.ends_as:
+        if self.expected_end == "planned":
+            self._record_down("exited")
+        elif not self.expected_end:
             self._crashed(code)
         self.state = "down"
-        self.gone.set()
-        if self.wanted_again:
-            self.crew.spawn(self.start())
+        self.exited.set()
+        if self.restart_wanted:
+            self.fleet.spawn(self.start())
 
     def _crashed(self, code: int) -> None:
-        self._down("crashed")
-        said = f", its last words: {' | '.join(self.last)}" if self.last else ""
+        self._record_down("crashed")
+        said = f", last log lines: {' | '.join(self.last_lines)}" if self.last_lines else ""
         text = f"{self.name} ended by itself with code {code}{said}"
-        if not self.crew.stands:
+        if not self.fleet.all_were_ready:
             raise InvalidRunError(f"{text}; it was never ready")
-        self.crew.notes.append(text)
-        self._leave_front(NOTICED_S)
+        self.fleet.notes.append(text)
+        self._leave_front(CRASH_NOTICE_S)
 
-    # ------------------------------------------------------------ its log
+    # ------------------------------------------------------------ log output
 
     def _read(self, fd: int, log: IO[bytes]) -> None:
         try:
@@ -194,33 +202,33 @@
         except BlockingIOError:
             return
         if not data:
-            self.crew.loop.remove_reader(fd)
+            self.fleet.loop.remove_reader(fd)
             os.close(fd)
             log.close()
             return
-        if log.tell() < MOST_BYTES:
+        if log.tell() < MAX_LOG_BYTES:
             log.write(data)
-        *lines, self._rest = (self._rest + data)[-MOST_BYTES:].split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data)[-MAX_LOG_BYTES:].split(b"\n")
         for line in lines:
             self._logged(line.decode("utf-8", "replace"))
 
     def _logged(self, text: str) -> None:
-        self.last.append(text[:300])
-        self.crew.lines += 1
-        if self.crew.lines <= MOST_LINES:
+        self.last_lines.append(text[:300])
+        self.fleet.log_lines += 1
+        if self.fleet.log_lines <= MAX_LOG_FACTS:
             level, topic, said, fields = parse(text)
-            self.crew.add(Logged(self.crew.now(), self.name, level, topic, said, fields))
+            self.fleet.add_fact(Logged(self.fleet.now(), self.name, level, topic, said, fields))
 
 
-class Crew:
-    """All proxies. `front` is told which of the first tier are in use; `add` takes facts in the run's own
-    time."""
+class ProxyFleet:
+    """All proxies. `front` is called when a first-tier proxy enters or leaves use; `add` takes facts in the
+    run's own time."""
 
     def __init__(
         self,
         plan: Plan,
-        keeper: ProcessSupervisor,
-        tree: Path,
+        supervisor: ProcessSupervisor,
+        source_tree: Path,
         folder: Path,
         now: Callable[[], int],
         add: Callable[[Fact], None],
@@ -228,45 +236,51 @@
         spawn: Callable[[Coroutine[Any, Any, None]], None],
         guarded: Callable[..., None],
     ) -> None:
-        self.plan, self.supervisor, self.tree, self.folder = plan, keeper, tree, folder
-        self.now, self.add, self.front, self.spawn, self.guarded = now, add, front, spawn, guarded
+        self.plan, self.supervisor, self.source_tree, self.folder = plan, supervisor, source_tree, folder
+        self.now, self.add_fact, self.on_front_change, self.spawn, self.guarded = (
+            now,
+            add,
+            front,
+            spawn,
+            guarded,
+        )
         self.loop: AbstractEventLoop = asyncio.get_running_loop()
         self.notes: list[str] = []
-        self.lines = 0
-        self.proxies = {spec.name: Proxy(self, spec) for spec in plan.proxies}
+        self.log_lines = 0
+        self.proxies = {spec.name: ProxyProcess(self, spec) for spec in plan.proxies}
         self.owned = {spec.owner_node: self.proxies[spec.name] for spec in plan.proxies if spec.owner_node}
-        self.stands = False  # all have been ready once
-        self.known = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
+        self.all_were_ready = False  # every proxy has been ready once
+        self.known_members = {tier: plan.members(tier) for tier in range(len(plan.scenario.tiers))}
 
     async def members(self, tier: int) -> list[dict[str, Any]]:
-        """The nodes of a tier as discovery shows them now, or as it did when it last answered."""
-        desk = self.plan.asides[tier]
-        status, body = await fetch(desk.host, desk.port, "/v1/endpoints")
+        """The nodes of a tier as discovery lists them now, or as in its last successful response."""
+        endpoint = self.plan.lab_endpoints[tier]
+        status, body = await fetch(endpoint.host, endpoint.port, "/v1/endpoints")
         if status == 200:
-            self.known[tier] = [m for m in json.loads(body)["members"] if m["phase"] != "DELETED"]
-        return self.known[tier]
+            self.known_members[tier] = [m for m in json.loads(body)["members"] if m["phase"] != "DELETED"]
+        return self.known_members[tier]
 
     async def start_all(self) -> None:
-        """Tier by tier from the last, so that nobody calls whoever is not there yet."""
+        """Starts the proxies tier by tier from the last, so that no proxy calls one that has not started."""
         for tier in reversed(range(len(self.plan.scenario.tiers))):
             proxies = [proxy for proxy in self.proxies.values() if proxy.spec.tier == tier]
             for proxy in proxies:
                 await proxy.start()
             for proxy in proxies:
                 await proxy.ready.wait()
-        self.stands = True
+        self.all_were_ready = True
 
-    def last_words(self) -> str:
-        """What those say that are not ready."""
+    def not_ready_summary(self) -> str:
+        """The last log line of proxies that are not ready, for error messages."""
         late = [proxy for proxy in self.proxies.values() if proxy.state == "starting"]
-        return "".join(f"; {p.name}: {p.last[-1] if p.last else 'says nothing'}" for p in late[:3])
+        return "".join(f"; {p.name}: {p.last_lines[-1] if p.last_lines else 'no output'}" for p in late[:3])
 
     async def stop_all(self, patience_s: float) -> None:
-        """SIGTERM to all, and SIGKILL to those that take longer than they may."""
+        """Sends SIGTERM to all, and SIGKILL to those that have not ended within `patience_s`."""
         for proxy in self.proxies.values():
-            proxy.wanted_again = False
+            proxy.restart_wanted = False
             proxy.stop()
-        waits = [asyncio.ensure_future(proxy.gone.wait()) for proxy in self.proxies.values()]
+        waits = [asyncio.ensure_future(proxy.exited.wait()) for proxy in self.proxies.values()]
         _, late = await asyncio.wait(waits, timeout=patience_s)
         for proxy in self.proxies.values() if late else ():
             proxy.stop_now()
@@ -274,7 +288,7 @@
 
 
 async def fetch(host: str, port: int, path: str, within_s: float = 1.0) -> tuple[int, bytes]:
-    """One GET; status 0 where no whole answer came in time."""
+    """Sends one GET. Returns status 0 if no complete response arrived in time."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(host, port)
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -1,9 +1,8 @@
-"""Drawn days of a group that keeps registers together: what its clients ask and what befalls it, all from a seed;
-played, judged and, where a rule is broken, shrunk to the least that still breaks it. It owns the draw. It must never
-draw what nothing could survive: at no time are more machines without their memory than a group of that size bears.
+"""Randomized runs of a group that replicates registers: client operations and faults are drawn from a seed,
+run and checked, and a run that breaks a rule is shrunk to a minimal one. Faults are drawn so that they can
+be survived: at no time have more nodes lost their storage than a group of that size tolerates.
 
-    python -m slatelab.peers.randomized_faults --seeds 1-2000 [--jobs 8] [--size 3]
-"""
+    python -m slatelab.peers.randomized_faults --seeds 1-2000 [--jobs 8] [--size 3]"""
 
 from __future__ import annotations
 
@@ -18,17 +17,17 @@
 from slatehub.copies.reconfiguration import voter_names as voting
 from slatehub.copies.replica import WRITTEN
 
-from .replica_simulation import MS, SECOND, Build, ReplicaSimulation, linearizability_violations
+from .replica_simulation import MS, SECOND, ReplicaFactory, ReplicaSimulation, linearizability_violations
 
 KINDS = ("ask", "crash", "wipe", "freeze", "cut", "mute", "lossy", "full", "slow", "clock", "halt", "trap")
-WEIGHTS = (0, 4, 3, 4, 3, 3, 3, 1, 2, 2, 1, 2)
-LENGTH = 12 * SECOND
+KIND_WEIGHTS = (0, 4, 3, 4, 3, 3, 3, 1, 2, 2, 1, 2)
+RUN_US = 12 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """`machine`: a place among the machines; `duration`: how long it lasts; `magnitude`: what more there is to say of
-    it."""
+    """`machine`: index of the node; `duration`: how long it lasts, microseconds; `magnitude`: further
+    parameter of the kind, 0 to 1 for faults."""
 
     at: int
     kind: str
@@ -41,100 +40,103 @@
 class RunResult:
     violations: list[str]
     counts: Counter[str] = field(default_factory=Counter)
-    longest: int = 0  # an operation took, microseconds
+    longest: int = 0  # longest operation, microseconds
 
 
 def drawn(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
     rng = Random(seed)
     events = [
-        Event(rng.randrange(LENGTH), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
+        Event(rng.randrange(RUN_US), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
         for _ in range(asks)
     ]
     for _ in range(rng.randrange(1, faults + 1)):
-        kind = rng.choices(KINDS, WEIGHTS)[0]
+        kind = rng.choices(KINDS, KIND_WEIGHTS)[0]
         span = int(rng.choice((50 * MS, 300 * MS, SECOND, 3 * SECOND)) * (0.5 + rng.random()))
-        events.append(Event(rng.randrange(LENGTH), kind, rng.randrange(size), span, rng.random()))
+        events.append(Event(rng.randrange(RUN_US), kind, rng.randrange(size), span, rng.random()))
     return sorted(events, key=lambda event: event.at)
 
 
 class Player:
-    def __init__(self, seed: int, size: int, build: Build | None, same_number: bool = False) -> None:
+    def __init__(self, seed: int, size: int, build: ReplicaFactory | None, same_number: bool = False) -> None:
         self.names = [f"p{i}" for i in range(size)]
         self.simulation = ReplicaSimulation(seed, self.names, build=build)
         self.simulation.reuse_store_id = same_number
         self.rng = Random(seed + 7)
         self.counts: Counter[str] = Counter()
-        self.cuts = 0
+        self.partition_count = 0
 
     def play(self, events: Sequence[Event]) -> RunResult:
-        votes = self.simulation
-        votes.start(*self.names)
-        votes.run(2 * SECOND)
+        simulation = self.simulation
+        simulation.start(*self.names)
+        simulation.run(2 * SECOND)
         for event in events:
-            votes.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
-        votes.run(LENGTH)
-        self._end()
-        keys = sorted({asked.key for asked in votes.history})
-        unread = [key for key in keys if votes.read(key) is None]
-        found = linearizability_violations(votes.history) + [
+            simulation.call_after(event.at, lambda event=event: self._do(event))  # type: ignore[misc]
+        simulation.run(RUN_US)
+        self._end_all_faults()
+        keys = sorted({asked.key for asked in simulation.history})
+        unread = [key for key in keys if simulation.read(key) is None]
+        found = linearizability_violations(simulation.history) + [
             f"{key.hex()[:6]}: cannot be read once all is well" for key in unread
         ]
-        late = max((a.ended - a.began for a in votes.history if a.ended), default=0)
-        self.counts.update(asked.outcome for asked in votes.history)
+        late = max((a.ended - a.began for a in simulation.history if a.ended), default=0)
+        self.counts.update(asked.outcome for asked in simulation.history)
         return RunResult(found, self.counts, late)
 
-    def _end(self) -> None:
-        """All faults are over."""
-        votes = self.simulation
-        votes.net.partitions.clear()
-        self._calm()
-        for name in list(votes.frozen):
-            votes.unfreeze(name)
+    def _end_all_faults(self) -> None:
+        """Ends all faults and lets the group recover."""
+        simulation = self.simulation
+        simulation.net.partitions.clear()
+        self._clear_datagram_faults()
+        for name in list(simulation.frozen):
+            simulation.unfreeze(name)
         for name in self.names:
-            if name in votes.running and votes.running[name].store_failure:
-                votes.crash(name)
-            if name not in votes.running:
-                votes.start(name)
-            votes.disks[name].delay = 200
-        votes.run(10 * SECOND)
+            if name in simulation.running and simulation.running[name].store_failure:
+                simulation.crash(name)
+            if name not in simulation.running:
+                simulation.start(name)
+            simulation.disks[name].delay = 200
+        simulation.run(10 * SECOND)
 
-    def _calm(self) -> None:
-        weather = self.simulation.net.faults
-        weather.loss = weather.duplication = weather.reordering = 0.0
+    def _clear_datagram_faults(self) -> None:
+        faults = self.simulation.net.faults
+        faults.loss = faults.duplication = faults.reordering = 0.0
 
     def _do(self, event: Event) -> None:
-        name, votes = self.names[event.machine], self.simulation
+        name, simulation = self.names[event.machine], self.simulation
         if event.kind == "ask":
-            votes.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
+            simulation.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
             return
         self.counts[f"fault {event.kind}"] += 1
         getattr(self, f"_{event.kind}")(name, event)
 
-    def _back(self, name: str, span: int) -> None:
+    def _start_later(self, name: str, span: int) -> None:
         self.simulation.call_after(
             span, lambda: None if name in self.simulation.running else self.simulation.start(name)
         )
 
     def _crash(self, name: str, event: Event) -> None:
         self.simulation.crash(name)
-        self._back(name, event.duration)
+        self._start_later(name, event.duration)
 
     def _wipe(self, name: str, event: Event) -> None:
-        """Only while the group can bear it: all the others vote with the memory that they have."""
-        votes = self.simulation
-        newest = max((m.config for m in votes.running.values()), key=lambda c: c.epoch, default=None)
+        """Wipes a node's storage, but only while the group tolerates it: all other voters still have their
+        storage."""
+        simulation = self.simulation
+        newest = max((m.config for m in simulation.running.values()), key=lambda c: c.epoch, default=None)
         whole = newest is not None and newest.epoch and not newest.old_voters
         held = newest is not None and all(
-            (disk := votes.disks.get(v.name)) is not None and disk.store == v.store_id for v in newest.voters
+            (disk := simulation.disks.get(v.name)) is not None and disk.store == v.store_id
+            for v in newest.voters
         )
         if whole and held and newest and name in voting(newest):
             self.counts["wiped"] += 1
-            votes.crash(name, wipe=True)
-            self._back(name, event.duration)
+            simulation.crash(name, wipe=True)
+            self._start_later(name, event.duration)
 
     def _trap(self, name: str, event: Event) -> None:
-        """What one wrote together with a second while the third was cut off; then the second loses its memory, and is
-        left with the third. A wiped voter that counts forgets for all."""
+        """Provokes the loss of a write if a wiped voter still counts: the first node writes together with the
+        second while the third is cut off; then the second loses its storage and is left with the third, so
+        that a majority would have forgotten the write."""
         second, third = (self.names[(event.machine + i) % len(self.names)] for i in (1, 2))
         self._cut(third, replace(event, magnitude=0.0))
         self.simulation.call_after(
@@ -149,8 +151,8 @@
         self.simulation.call_after(event.duration, lambda: self.simulation.unfreeze(name))
 
     def _cut(self, name: str, event: Event, both: bool = True) -> None:
-        self.cuts += 1
-        fault = f"cut-{self.cuts}"
+        self.partition_count += 1
+        fault = f"cut-{self.partition_count}"
         side = [name] if event.magnitude < 0.5 else [name, self.names[(event.machine + 1) % len(self.names)]]
         self.simulation.net.partition(fault, side, [n for n in self.names if n not in side], both)
         self.simulation.call_after(event.duration, lambda: self.simulation.net.heal(fault))
@@ -159,20 +161,20 @@
         self._cut(name, event, both=False)
 
     def _lossy(self, name: str, event: Event) -> None:
-        weather = self.simulation.net.faults
-        weather.loss, weather.duplication, weather.reordering, weather.reordering_delay = (
+        faults = self.simulation.net.faults
+        faults.loss, faults.duplication, faults.reordering, faults.reordering_delay = (
             event.magnitude * 0.6,
             0.2,
             0.3,
             300 * MS,
         )
-        self.simulation.call_after(event.duration, lambda: self._calm())
+        self.simulation.call_after(event.duration, lambda: self._clear_datagram_faults())
 
     def _full(self, name: str, event: Event) -> None:
-        """Until it is started again, with room."""
+        """Fills the disk until the node is restarted with free space."""
         self.simulation.fill_disk(name)
         self.simulation.call_after(event.duration, lambda: self.simulation.crash(name))
-        self._back(name, event.duration + 10 * MS)
+        self._start_later(name, event.duration + 10 * MS)
 
     def _slow(self, name: str, event: Event) -> None:
         if disk := self.simulation.disks.get(name):
@@ -180,31 +182,33 @@
             self.simulation.call_after(event.duration, lambda: setattr(disk, "delay", 200))
 
     def _clock(self, name: str, event: Event) -> None:
-        """A clock that is wrong, from the next start on: a running one does not jump (it is monotonic)."""
+        """Sets a wrong clock from the next start on: the clock of a running process does not jump (it is
+        monotonic)."""
         self.simulation.crash(name)
         self.simulation.clocks[name] = int((event.magnitude - 0.5) * 600 * SECOND)
-        self._back(name, event.duration)
+        self._start_later(name, event.duration)
 
     def _halt(self, name: str, event: Event) -> None:
-        """All at once."""
-        for one in self.names:
-            self.simulation.crash(one)
-            self._back(one, int(event.duration * self.rng.random()))
+        """Crashes all nodes at once."""
+        for node in self.names:
+            self.simulation.crash(node)
+            self._start_later(node, int(event.duration * self.rng.random()))
 
 
 def run_seed(
     seed: int,
     size: int = 3,
-    build: Build | None = None,
+    build: ReplicaFactory | None = None,
     events: Sequence[Event] | None = None,
     reuse_store_id: bool = False,
 ) -> RunResult:
-    """`reuse_store_id`: planted, see ReplicaSimulation."""
+    """Runs one seed. `reuse_store_id`: deliberate fault, see ReplicaSimulation."""
     return Player(seed, size, build, reuse_store_id).play(drawn(seed, size) if events is None else events)
 
 
-def shrink(seed: int, size: int, build: Build | None = None) -> tuple[list[Event], RunResult]:
-    """The least of the day's events, one by one left out, that still breaks a rule."""
+def shrink(seed: int, size: int, build: ReplicaFactory | None = None) -> tuple[list[Event], RunResult]:
+    """Shrinks a failing run to fewer events, leaving out blocks and then single events, as long as a rule is
+    still broken."""
     events = drawn(seed, size)
     day = run_seed(seed, size, build, events)
     step = max(1, len(events) // 2)
@@ -221,7 +225,7 @@
     return events, day
 
 
-def _one(job: tuple[int, int]) -> tuple[int, RunResult]:
+def _run_job(job: tuple[int, int]) -> tuple[int, RunResult]:
     return job[0], run_seed(*job)
 
 
@@ -236,7 +240,7 @@
     seeds = range(int(first), int(last or first) + 1)
     began, counts, bad, longest = time.perf_counter(), Counter[str](), list[int](), 0
     with ProcessPoolExecutor(args.jobs) as pool:
-        for seed, day in pool.map(_one, [(seed, args.size) for seed in seeds], chunksize=4):
+        for seed, day in pool.map(_run_job, [(seed, args.size) for seed in seeds], chunksize=4):
             counts.update(day.counts)
             longest = max(longest, day.longest)
             if day.violations:
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -1,10 +1,12 @@
-"""A group of proxies that keep registers together, on virtual time: their own machines (`slatehub.copies`), a net that
-loses, doubles and delays, disks that forget what was not yet durable, and clients whose history is checked. A day is a
-seed. It owns the queue of what is to come and the faults. It must never touch a machine but by its door.
+"""Simulates a group of proxies that replicate registers, on virtual time: real replica state machines
+(`slatehub.copies`), a network that loses, duplicates and delays datagrams, disks that lose what was not
+yet durable, and clients whose history is checked. A run is determined by its seed. The replicas are only
+driven through their public interface.
 
-Each client's operation puts a token of its own behind what stands in a register, so that what stands there in the end
-is the order in which all of them took effect: a register is linearizable if every answer fits that order, and every
-operation that had ended before another began stands before it (as in Kingsbury and Alvaro, Elle, 2020, for lists)."""
+Each client operation appends a token of its own to a register, so the final value is the order in which all
+operations took effect. A register is linearizable if every response is consistent with that order, and every
+operation that had ended before another began comes before it (as in Kingsbury and Alvaro, Elle, 2020, for
+lists)."""
 
 from __future__ import annotations
 
@@ -27,20 +29,20 @@
 
 @dataclass(slots=True)
 class Disk:
-    """`synced`: what a crash leaves; `unsynced`: written and not yet durable."""
+    """`synced`: records that survive a crash; `unsynced`: written and not yet durable."""
 
     store: int
     synced: list[LogRecord] = field(default_factory=list)
     unsynced: list[LogRecord] = field(default_factory=list)
     busy: bool = False
-    delay: int = 200  # microseconds of a sync
+    delay: int = 200  # mean duration of a sync, microseconds
     full: bool = False
     fresh: bool = True
 
 
 @dataclass(slots=True)
 class Operation:
-    """One operation of a client's, as its history has it."""
+    """One client operation, as recorded in the history."""
 
     key: bytes
     token: bytes
@@ -55,48 +57,55 @@
     token: bytes
 
     def __call__(self, found: bytes) -> bytes:
-        """An earlier try of ours may have been taken up, and others' tokens put behind it: then it is only written
-        again, as what was found need not have been decided."""
+        """Appends the token once. An earlier attempt of this operation may have been accepted and followed by
+        other tokens; then the value is only written again, as the value found need not have been decided."""
         return found if self.token in tokens(found) else found + self.token
 
 
-Build = Callable[[str, int, int, Random, bool], Replica]
+ReplicaFactory = Callable[[str, int, int, Random, bool], Replica]
 
 
 class ReplicaSimulation:
-    """`names` are the founders. `crash` leaves the disk, `wipe` does not; a name that is `running` runs."""
+    """`names` are the founding voters. `crash` keeps the disk unless `wipe` is set. `running`: the replicas
+    that run, by name."""
 
     def __init__(
-        self, seed: int, names: list[str], terms: ReplicaConfig | None = None, build: Build | None = None
+        self,
+        seed: int,
+        names: list[str],
+        terms: ReplicaConfig | None = None,
+        build: ReplicaFactory | None = None,
     ) -> None:
         self.rng = Random(seed)
         self.net = PeerNetwork(Random(seed + 1))
         self.founders = list(names)
         self.terms = terms or ReplicaConfig()
-        self.build = build or self._usual
+        self.build = build or self._default_build
         self.now = EPOCH
         self.disks: dict[str, Disk] = {}
         self.running: dict[str, Replica] = {}
         self.lives: dict[str, int] = {}
         self.frozen: dict[str, list[tuple[str, bytes]]] = {}
-        self.clocks: dict[str, int] = {}  # by how much each one's clock is wrong
+        self.clocks: dict[str, int] = {}  # offset of each node's clock, microseconds
         self.history: list[Operation] = []
         self.open: dict[tuple[str, int, int], Operation] = {}
         self.lines: list[tuple[int, str, str]] = []
         self._queue: list[tuple[int, int, str, str, Any]] = []
-        self._count = 0
-        self._woken: dict[str, int] = {}
+        self._sequence = 0
+        self._next_wakeup: dict[str, int] = {}
         self.tokens = 0
         self.messages_sent = 0
-        self.reuse_store_id = False  # planted: who has lost its memory passes for the voter that it was
+        self.reuse_store_id = (
+            False  # deliberate fault: a node that lost its storage keeps its identity as a voter
+        )
         self.copies_override: Callable[[int, str, str], int] | None = (
-            None  # of datagram n: how many copies arrive
+            None  # number of copies of datagram n that arrive
         )
 
-    def _usual(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
+    def _default_build(self, name: str, store: int, now: int, rng: Random, founding: bool) -> Replica:
         return Replica(name, store, self.founders, now, rng, self.terms, founding=founding)
 
-    # ------------------------------------------------------------ machines
+    # ------------------------------------------------------------ nodes
 
     def start(self, *names: str) -> None:
         for name in names:
@@ -104,26 +113,27 @@
             if disk is None:
                 disk = self.disks[name] = Disk(self.rng.getrandbits(62) | 1)
             self.lives[name] = self.lives.get(name, 0) + 1
-            machine = self.build(
+            replica = self.build(
                 name, disk.store, self._clock(name), Random(self.rng.getrandbits(60)), disk.fresh
             )
-            machine.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
-            self.running[name] = machine
-            self._woken.pop(name, None)
+            replica.restore([decode_record(pack(r)) for r in disk.synced], self._clock(name))
+            self.running[name] = replica
+            self._next_wakeup.pop(name, None)
             self._process_output(name)
 
     def _clock(self, name: str) -> int:
         return self.now + self.clocks.get(name, 0)
 
     def crash(self, name: str, wipe: bool = False) -> None:
-        """What is not durable is lost, but for a part that had got as far as the disk."""
+        """Crashes a node. Records that are not durable are lost, except for a random prefix that reached the
+        disk."""
         if self.running.pop(name, None):
             disk = self.disks[name]
             disk.synced += disk.unsynced[: self.rng.randrange(len(disk.unsynced) + 1)]
             disk.unsynced.clear()
             disk.busy = disk.full = False
             for key in [k for k in self.open if k[0] == name]:
-                self._ended(self.open.pop(key), UNCERTAIN, b"")
+                self._end_operation(self.open.pop(key), UNCERTAIN, b"")
         self.frozen.pop(name, None)
         self.lives[name] = self.lives.get(name, 0) + 1
         if wipe and name in self.disks:
@@ -137,32 +147,32 @@
 
     def unfreeze(self, name: str) -> None:
         for sender, data in self.frozen.pop(name, [])[:200]:
-            self._take(name, sender, data)
+            self._receive(name, sender, data)
         if name in self.running:
-            self._ring(name)
+            self._advance_replica(name)
 
     def fill_disk(self, name: str) -> None:
-        """Its disk takes nothing any more."""
+        """Makes the node's disk refuse further writes."""
         if name in self.running:
             self.disks[name].full = True
 
     # ------------------------------------------------------------ clients
 
     def append_token(self, name: str, key: bytes) -> Operation | None:
-        """A client asks this one to put a token behind what stands under `key`."""
+        """Starts a client operation at this node that appends a token to the register `key`."""
         if name not in self.running or name in self.frozen:
             return None
         self.tokens += 1
-        asked = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
-        self.history.append(asked)
-        machine = self.running[name]
-        number = machine.propose(self._clock(name), key, Append(asked.token))
-        self.open[name, self.lives[name], number] = asked
+        operation = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
+        self.history.append(operation)
+        replica = self.running[name]
+        number = replica.propose(self._clock(name), key, Append(operation.token))
+        self.open[name, self.lives[name], number] = operation
         self._process_output(name)
-        return asked
+        return operation
 
-    def _ended(self, asked: Operation, how: str, value: bytes) -> None:
-        asked.ended, asked.outcome, asked.value = self.now, how, value
+    def _end_operation(self, operation: Operation, how: str, value: bytes) -> None:
+        operation.ended, operation.outcome, operation.value = self.now, how, value
 
     # ------------------------------------------------------------ time
 
@@ -179,42 +189,48 @@
                 if name in self.frozen:
                     self.frozen[name].append(what)
                 else:
-                    self._take(name, *what)
+                    self._receive(name, *what)
             elif kind == "synced":
                 self._synced(name, what)
-            elif self._woken.get(name) == due and name not in self.frozen and what == self.lives[name]:
-                self._ring(name)
+            elif self._next_wakeup.get(name) == due and name not in self.frozen and what == self.lives[name]:
+                self._advance_replica(name)
         self.now = end
 
     def call_after(self, span: int, call: Callable[[], Any]) -> None:
-        self._put(self.now + span, "call", "", call)
+        self._schedule(self.now + span, "call", "", call)
 
-    def _take(self, name: str, sender: str, data: bytes) -> None:
+    def _receive(self, name: str, sender: str, data: bytes) -> None:
         self.running[name].receive(self._clock(name), sender, unpack(data))
         self._process_output(name)
 
-    def _ring(self, name: str) -> None:
-        self.running[name].advance(self._clock(name), max(0, self.now - self._woken.get(name, self.now)))
+    def _advance_replica(self, name: str) -> None:
+        self.running[name].advance(
+            self._clock(name), max(0, self.now - self._next_wakeup.get(name, self.now))
+        )
         self._process_output(name)
 
     def _process_output(self, name: str) -> None:
-        machine = self.running[name]
-        records, out, done = machine.drain_output()
+        replica = self.running[name]
+        records, out, done = replica.drain_output()
         self.disks[name].unsynced += records
         self._sync(name)
         by: dict[str, list[Message]] = {}
         for to, message in out:
             by.setdefault(to, []).append(message)
         for to, messages in by.items():
-            self._send(name, to, pack(MessageBatch(machine.self_voter.store_id, messages[:64])))
+            self._send(name, to, pack(MessageBatch(replica.self_voter.store_id, messages[:64])))
         for result in done:
             self._result(name, result)
-        self.lines += [(self.now, name, line) for line in machine.log_lines]
-        machine.log_lines.clear()
-        due = max(self.now + 1, machine.next_deadline() - self.clocks.get(name, 0))
-        if name not in self._woken or due < self._woken[name] or self._woken[name] <= self.now:
-            self._woken[name] = due
-            self._put(due, "ring", name, self.lives[name])
+        self.lines += [(self.now, name, line) for line in replica.log_lines]
+        replica.log_lines.clear()
+        due = max(self.now + 1, replica.next_deadline() - self.clocks.get(name, 0))
+        if (
+            name not in self._next_wakeup
+            or due < self._next_wakeup[name]
+            or self._next_wakeup[name] <= self.now
+        ):
+            self._next_wakeup[name] = due
+            self._schedule(due, "ring", name, self.lives[name])
 
     def _send(self, name: str, to: str, data: bytes) -> None:
         self.messages_sent += 1
@@ -222,7 +238,7 @@
         if self.copies_override:
             copies = copies[:1] * self.copies_override(self.messages_sent, name, to)
         for wait, copy in copies:
-            self._put(self.now + wait, "data", to, (name, copy))
+            self._schedule(self.now + wait, "data", to, (name, copy))
 
     def _sync(self, name: str) -> None:
         disk = self.disks[name]
@@ -233,56 +249,56 @@
                 return
             disk.busy = True
             delay = 1 + int(disk.delay * 2 * self.rng.random())
-            self._put(self.now + delay, "synced", name, (self.lives[name], len(disk.unsynced)))
+            self._schedule(self.now + delay, "synced", name, (self.lives[name], len(disk.unsynced)))
 
     def _synced(self, name: str, what: tuple[int, int]) -> None:
         life, count = what
-        disk, machine = self.disks[name], self.running[name]
+        disk, replica = self.disks[name], self.running[name]
         if life != self.lives[name]:
             return
         disk.busy = False
         if disk.full:
-            machine.fail_store("no space left")
+            replica.fail_store("no space left")
         else:
             disk.synced += disk.unsynced[:count]
             del disk.unsynced[:count]
             disk.fresh = disk.fresh and not disk.synced
             if (
                 name in self.frozen
-            ):  # the disk goes on while the process stands still; it hears of it when it wakes
-                self.call_after(0, lambda: self._told(name, life, count))
+            ):  # the disk continues while the process is frozen; the process learns of the sync when it resumes
+                self.call_after(0, lambda: self._mark_durable_later(name, life, count))
                 return
-            machine.mark_durable(self._clock(name), machine.durable_index + count)
+            replica.mark_durable(self._clock(name), replica.durable_index + count)
         self._process_output(name)
 
-    def _told(self, name: str, life: int, count: int) -> None:
+    def _mark_durable_later(self, name: str, life: int, count: int) -> None:
         if life != self.lives[name] or name not in self.running:
             return
         if name in self.frozen:
-            self.call_after(10 * MS, lambda: self._told(name, life, count))
+            self.call_after(10 * MS, lambda: self._mark_durable_later(name, life, count))
             return
         self.running[name].mark_durable(self._clock(name), self.running[name].durable_index + count)
         self._process_output(name)
 
     def _result(self, name: str, result: OperationResult) -> None:
-        asked = self.open.pop((name, self.lives[name], result.operation), None)
-        if asked:
-            self._ended(asked, result.outcome, result.value)
+        operation = self.open.pop((name, self.lives[name], result.operation), None)
+        if operation:
+            self._end_operation(operation, result.outcome, result.value)
 
-    def _put(self, due: int, kind: str, name: str, what: Any) -> None:
-        self._count += 1
-        heappush(self._queue, (due, self._count, kind, name, what))
+    def _schedule(self, due: int, kind: str, name: str, what: Any) -> None:
+        self._sequence += 1
+        heappush(self._queue, (due, self._sequence, kind, name, what))
 
-    # ------------------------------------------------------------ judged
+    # ------------------------------------------------------------ checks
 
     def read(self, key: bytes) -> bytes | None:
-        """What stands there, as a majority tells: an operation of its own, tried at each that is up."""
+        """Reads a register through a majority: runs an operation of its own, tried at each running node."""
         for _ in range(40):
             for name in sorted(self.running):
-                asked = self.append_token(name, key)
+                operation = self.append_token(name, key)
                 self.run(SECOND)
-                if asked and asked.outcome == WRITTEN:
-                    return asked.value
+                if operation and operation.outcome == WRITTEN:
+                    return operation.value
         return None
 
 
@@ -291,35 +307,37 @@
 
 
 def linearizability_violations(history: list[Operation]) -> list[str]:
-    """What no linearizable register could have answered, in order of time; the shortest history that shows each. The
-    last operation on each register must be one that was answered."""
+    """Violations of linearizability in a history, in order of time, each with the shortest history that shows
+    it. The last operation on each register must be one that was answered."""
     found: list[str] = []
-    for key in sorted({asked.key for asked in history}):
-        ops = [asked for asked in history if asked.key == key]
-        found += _of_register(key, ops)
+    for key in sorted({operation.key for operation in history}):
+        ops = [operation for operation in history if operation.key == key]
+        found += _register_violations(key, ops)
     return found
 
 
-def _of_register(key: bytes, ops: list[Operation]) -> list[str]:
+def _register_violations(key: bytes, ops: list[Operation]) -> list[str]:
     done = [op for op in ops if op.outcome == WRITTEN]
     if not done:
         return []
     final = tokens(max(done, key=lambda op: (op.ended, len(op.value))).value)
-    place = {token: i for i, token in enumerate(final)}
+    position = {token: i for i, token in enumerate(final)}
     found = []
-    if len(place) < len(final):
+    if len(position) < len(final):
         found.append(f"{key.hex()[:6]}: a token stands twice")
     for op in done:
         seen = tokens(op.value)
         if seen != final[: len(seen)] or op.token not in seen:
-            text = f"token {_short(op.token)} was answered {_list(seen)}, in the end {_list(final)}"
+            text = (
+                f"token {_short(op.token)} was answered {_token_list(seen)}, in the end {_token_list(final)}"
+            )
             found.append(f"{key.hex()[:6]}: {text}")
     for op in ops:
-        if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in place:
+        if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in position:
             found.append(
                 f"{key.hex()[:6]}: token {_short(op.token)} was told as not written, and stands there"
             )
-    order = sorted((op for op in ops if op.token in place), key=lambda op: place[op.token])
+    order = sorted((op for op in ops if op.token in position), key=lambda op: position[op.token])
     latest = 0
     for op in order:
         if op.ended and op.outcome == WRITTEN and op.ended < latest:
@@ -334,5 +352,5 @@
     return str(int.from_bytes(token, "big"))
 
 
-def _list(some: list[bytes]) -> str:
+def _token_list(some: list[bytes]) -> str:
     return "[" + " ".join(map(_short, some)) + "]"
