--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -195,7 +195,7 @@
         return conn.recv(1000)
 
 
-def test_an_admin_call_that_fails_is_a_500_and_the_next_one_works(
+def test_an_operators_call_that_fails_is_a_no_and_the_next_one_is_heard(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     operations: list[str] = []
@@ -223,7 +223,7 @@
         admin_call(listener, b"")
 
 
-def test_the_admin_listener_waits_while_no_descriptor_is_free() -> None:
+def test_no_descriptor_for_an_operator_is_waited_out() -> None:
     admin_server, listener = AdminServer(lambda call: AdminResponse(200, "yes")), ExhaustedListener()
     acceptor = gevent.spawn(admin_server._accept, listener)
     assert (
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -221,7 +221,7 @@
     return pool
 
 
-def test_a_node_that_begins_to_drain_while_the_connection_opens_gets_no_request() -> None:
+def test_a_node_told_to_drain_while_the_connection_comes_up_gets_nothing_written() -> None:
     with open_listener() as listener:
         balancer = ScriptedBalancer(Send(1, 1))
         rig = DispatcherRig(balancer)
@@ -312,7 +312,7 @@
         ([b"HTTP/1.1 200 OK\r\nX-Server-Load: qps=nan,util=\xff\r\nContent-Length: 2\r\n\r\nok"], Status.OK),
     ],
 )
-def test_an_invalid_response_is_an_error_of_a_running_node_and_closes_the_connection(
+def test_a_spoilt_answer_is_an_error_of_a_node_that_runs_and_its_connection_ends(
     pieces: list[bytes], status: Status, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "RESPONSE_BODY_TIMEOUT_US", 50_000)
@@ -384,7 +384,7 @@
         pool.cancel(rig.attempts[1])
 
 
-def test_an_attempt_whose_connection_never_opens_has_not_run() -> None:
+def test_a_connection_that_never_comes_up_has_not_run() -> None:
     with open_listener() as listener:
         listener.listen(0)
         queued = [
@@ -496,7 +496,7 @@
     assert held.recv(1000).startswith(b"HTTP/1.1 504")  # a connection whose job is in hand was not closed
 
 
-def test_requests_beyond_the_memory_limit_are_refused_before_they_are_complete() -> None:
+def test_requests_that_no_memory_is_left_for_are_turned_away_before_they_are_whole() -> None:
     rig = DispatcherRig()
     http_server = make_server(rig, memory_limit=50_000)
     first, _ = connect_caller(http_server, request_head("a", 40_000) + b"x" * 30_000)
