--- a/slatelab/scenario/types.py
+++ b/slatelab/scenario/types.py
@@ -1,6 +1,6 @@
-"""The scenario as typed objects: everything a run needs to know, whichever engine plays it. This file owns the names,
-defaults, bounds and cross-checks of the file format; `docs/operators/lab.md` explains it to operators. It must never
-read a file or draw a random number: ranges are drawn in `slatelab.plant`."""
+"""The scenario as typed objects, with everything that a run in either engine needs. Defines the names, defaults, bounds
+and cross-checks of the file format; `docs/operators/lab.md` explains it to operators. Random values within the given
+ranges are drawn in `slatelab.plant`."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 Speed = Times | tuple[Times, Times]
 
 
-class Part(BaseModel):
-    """Base of all: unknown keys are errors, and nothing changes once read."""
+class ScenarioTable(BaseModel):
+    """Base class of all tables: unknown keys are errors, and instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class About(Part):
+class RunInfo(ScenarioTable):
     name: Name
     about: str = Field(default="", max_length=2000)
-    duration: LongTime  # arrivals come for so long; then what is open is waited for
-    warmup: Time = 0  # what is ordered before this does not count in the figures (the judge counts all)
+    duration: LongTime  # of the arrivals; the run then waits for open orders
+    warmup: Time = 0  # orders due before this are left out of the figures (the judge counts all)
     seed: int = Field(default=1, ge=0, le=2**53, strict=True)
-    overload: bool = False  # more is offered than the nodes can carry, on purpose
+    overload: bool = False  # the offered load exceeds the capacity of the nodes on purpose
 
 
-class Storms(Part):
+class Storms(ScenarioTable):
     """The operator's table of the same name, for all proxies."""
 
     watch: bool = True
     advice: Literal["appointments", "exponential", "fixed", "none"] = "appointments"
-    pace: bool = True  # (engine live; the model paces no connections)
+    pace: bool = True  # live engine only; the model does not pace connections
 
 
-class Proxies(Part):
-    """The proxies, all alike. `direct` (engine model only): callers go to a random node themselves, with no limit and
-    no second try, as a yardstick."""
+class Proxies(ScenarioTable):
+    """Settings of all proxies. `direct` (model engine only): as a baseline, callers send to a random node themselves,
+    without limits and without a second attempt."""
 
     kind: Literal["slatehub", "direct"] = "slatehub"
     attempts: Annotated[int, Field(ge=1, le=20, strict=True)] = 4
@@ -56,7 +56,7 @@
     connect_timeout: LongTime = 150_000
     idle_close: LongTime = 30_000_000
     passes_deadline: bool = (
-        True  # nodes call on with the time that is left, not with the class's whole deadline
+        True  # nodes call the next tier with the time left, not with the class's whole deadline
     )
     over_share_worth: Share = 0.2
     max_open: Positive = 32_768
@@ -65,29 +65,30 @@
     storms: Storms = Storms()
 
 
-class Fleet(Part):
-    """Proxies of one tier that know each other (model engine). `delay`: one way, on average."""
+class Fleet(ScenarioTable):
+    """Messages between the proxies of a tier (model engine). `delay`: one way, on average."""
 
     peers: bool = False
-    share: bool = True  # what each carries is told, and overload handled together; else only who is there
+    share: bool = True  # proxies exchange their load and handle overload together; else only membership
     delay: Time = 300
     lost: Share = 0.0  # of the datagrams, at all times
 
 
-class Rules(Part):
-    """What the judge holds the proxies to."""
+class Rules(ScenarioTable):
+    """Limits that the judge checks the proxies against."""
 
     drain_grace: Time = 2_500_000
     fall_multiple: Factor = 3.0
     fall_window: LongTime = 1_500_000
     answer_slack: Time = 50_000
-    ask_every: LongTime = 6_000_000  # a change counts as told at the latest so long after it
-    fleet_attempts: Annotated[float, Field(ge=0, le=20)] = 0.0  # an order, all proxies together; 0: no limit
-    inversions: Share = 0.0  # of the tries, refused while worth less was taken elsewhere; 0: no limit
+    ask_every: LongTime = 6_000_000  # a proxy counts as informed of a change after this time
+    fleet_attempts: Annotated[float, Field(ge=0, le=20)] = 0.0  # per order, all proxies together; 0: no limit
+    # share of attempts refused while orders of lower worth were accepted elsewhere; 0: no limit
+    inversions: Share = 0.0
 
 
-class Network(Part):
-    """One way delays; `jitter` is the share by which one varies up and down."""
+class Network(ScenarioTable):
+    """One-way delays; `jitter` is the share by which a delay varies in both directions."""
 
     delay: Time = 200
     client_delay: Time = 800
@@ -95,23 +96,23 @@
     handshake_trips: Annotated[float, Field(ge=0, le=10)] = 1.0  # round trips before the first byte
 
 
-class Discovery(Part):
-    delay: Time = 1_000_000  # from a change of a node until the list shows it
-    answer: Time = 1_000  # to answer one call
-    capacity: Rate = 0.0  # calls a second it can take; 0: as many as come
-    timeout: LongTime = 1_000_000  # a call that waited so long for its turn fails
+class Discovery(ScenarioTable):
+    delay: Time = 1_000_000  # from a change of a node until it is published
+    answer: Time = 1_000  # processing time of one call
+    capacity: Rate = 0.0  # calls per second; 0: no limit
+    timeout: LongTime = 1_000_000  # a call that is queued for this long fails
 
 
-class Work(Part):
-    """How much work a request of a class is, in time on one core of speed 1. `cv`: standard deviation over mean."""
+class Work(ScenarioTable):
+    """The work of a request of a class, as time on one core of speed 1. `cv`: standard deviation divided by mean."""
 
     mean: LongTime
     dist: Literal["fixed", "exponential", "lognormal", "pareto"] = "lognormal"
     cv: Annotated[float, Field(ge=0, le=20)] = 1.0
-    noise: Share = 0.0  # by which two runs of the same request differ
+    noise: Share = 0.0  # by which calls of one order vary
 
 
-class Class(Part):
+class Class(ScenarioTable):
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0  # of the arrivals, in proportion
     work: Work
@@ -132,38 +133,38 @@
         return self
 
 
-class Tenant(Part):
+class Tenant(ScenarioTable):
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0  # of the arrivals, in proportion
-    allowance: Rate = 0.0  # beyond it requests are worth less; 0: no limit
+    allowance: Rate = 0.0  # requests beyond it have a lower worth; 0: no limit
 
 
-class Cold(Part):
-    """A node that starts does `from` of its capacity, rising evenly to all of it over `for`; nodes that stand at the
-    run's beginning are warm."""
+class Cold(ScenarioTable):
+    """Cold start: a started node has the share `from` of its capacity, rising linearly to all of it over `for`. Nodes
+    that exist at the beginning of the run are warm."""
 
     share: Share = Field(default=1.0, alias="from")
     span: Time = Field(default=0, alias="for")
-    falls: bool = True  # one that is sent too much while cold falls over and stays down
+    falls: bool = True  # a node that is overloaded while cold crashes and stays down
 
 
-class Pause(Part):
-    """Garbage collection and the like: all work on the node stands still."""
+class Pause(ScenarioTable):
+    """Pauses such as garbage collection, in which all work on the node stops."""
 
     every: LongTime
     length: LongTime
 
 
-class Thrash(Part):
-    """Beyond `at` requests in work, each further one takes this share of the node's capacity."""
+class Thrash(ScenarioTable):
+    """Each request in work beyond `at` reduces the node's capacity by this share."""
 
     at: Positive
     share: Share
 
 
-class Choke(Part):
-    """Overdriven: with more than `at` requests a core held for `over`, the node turns `slower` times slower, until it
-    has held fewer than `below` a core for `rest`, or for `most` at the longest."""
+class Choke(ScenarioTable):
+    """Slowdown under sustained overload: after more than `at` requests per core for `over`, the node is `slower` times
+    slower, until it has held fewer than `below` per core for `rest`, or for at most `most`."""
 
     at: Annotated[float, Field(gt=0, le=10_000)]
     over: LongTime
@@ -173,32 +174,33 @@
     most: LongTime = 30_000_000
 
 
-class Kind(Part):
-    """Nodes of one kind. `speed` may be a range, drawn for each node."""
+class Kind(ScenarioTable):
+    """Nodes of one kind. `speed` may be a range, from which the speed of each node is drawn."""
 
     name: Name
     nodes: Positive
     cores: Annotated[int, Field(ge=1, le=1024, strict=True)] = 1
     speed: Speed = 1.0
-    slots: Positive = 32  # requests in work at once, sharing the cores
-    waiting: Count = 4  # beyond these: turned away
+    slots: Positive = 32  # requests in work at the same time, which share the cores
+    waiting: Count = 4  # length of the queue; further requests are rejected
     cold: Cold = Cold()
     pause: Pause | None = None
     thrash: Thrash | None = None
     choke: Choke | None = None
     errors: Share = 0.0
     connections: Positive = 700
-    handshake_work: Time = 0  # a new connection costs so much of it
+    handshake_work: Time = 0  # work of accepting a new connection
     drops_cancelled: bool = (
-        True  # waiting work is dropped when its caller has left; running work always goes on
+        True  # queued work is dropped when its caller disconnects; running work always continues
     )
-    report_every: LongTime = 100_000  # the load report on answers is refreshed so often
+    report_every: LongTime = 100_000  # refresh interval of the load report on answers
 
 
-class Tier(Part):
-    """`work`: the part of a class's work done here for each call. `calls`: how many calls to the next tier one request
-    makes, on average, one after another. `proxies` counts for the first tier; in later ones every node of the tier
-    before has its own. `skew`: the first proxy of the first tier is handed so many times the callers of another."""
+class Tier(ScenarioTable):
+    """`work`: the share of a class's work done in this tier per call. `calls`: average number of calls that a request
+    makes to the next tier, one after another. `proxies` applies to the first tier; in later tiers each node of the tier
+    before has its own proxy. `skew`: the first proxy of the first tier gets this many times the connections of each
+    other one."""
 
     name: Name
     proxies: Positive = 1
@@ -208,9 +210,10 @@
     kind: list[Kind] = Field(min_length=1)
 
 
-class Arrivals(Part):
-    """One stream of orders; several add up. `poisson` and `steady` at `rate`; `ramp` from `rate` to `to_rate` over its
-    time; `burst`: `size` at once each `every`; `trace`: recorded, one "seconds[,class[,tenant]]" a line of `file`."""
+class Arrivals(ScenarioTable):
+    """One stream of orders; several streams add up. `poisson` and `steady` at `rate`; `ramp` from `rate` to `to_rate`
+    over its time; `burst`: `size` orders at once every `every`; `trace`: recorded in `file`, with one
+    "seconds[,class[,tenant]]" per line."""
 
     kind: Literal["poisson", "steady", "ramp", "burst", "trace"]
     rate: Rate = 0.0
@@ -220,7 +223,7 @@
     file: str = ""
     start: Time = 0
     end: Time = 0  # 0: until the scenario's duration
-    classes: list[Name] = []  # only these; empty: all by their shares
+    classes: list[Name] = []  # only these; empty: all, weighted by their shares
     tenants: list[Name] = []
 
     @model_validator(mode="after")
@@ -236,22 +239,22 @@
         return self
 
 
-class Clients(Part):
-    """How the outside callers behave. Safe orders are tried again after any failure, unsafe ones only after a refusal
-    or where nobody took the request (unless `reckless`, which breaks the platform's rules on purpose)."""
+class Clients(ScenarioTable):
+    """Behaviour of the external clients. Safe orders are retried after any failure, unsafe ones only after a refusal or
+    if no proxy accepted the request (unless `reckless`, which violates the platform's rules on purpose)."""
 
     retries: Annotated[int, Field(ge=0, le=50, strict=True)] = 0
     backoff: Literal["none", "fixed", "exponential"] = "exponential"
     base: Time = 200_000
-    honour: Share = 1.0  # of the clients that come back when Retry-After says, instead
-    patience: Share = 1.0  # a try is given up after this share of the class's deadline
-    patience_least: Share | None = None  # drawn evenly from here up to `patience`
+    honour: Share = 1.0  # of the clients that retry when Retry-After says, instead of after their backoff
+    patience: Share = 1.0  # an attempt is given up after this share of the class's deadline
+    patience_least: Share | None = None  # if set, drawn uniformly between this and `patience`
     marks_retry: bool = False
     reckless: bool = False
     alike: bool = (
-        False  # all orders of a class and tenant ask for the same, so that nobody can tell them apart
+        False  # all orders of a class and tenant send identical requests, so that they cannot be told apart
     )
-    connections: Positive = 512  # the most that are open at once
+    connections: Positive = 512  # limit of open connections
 
 
 FAULT_KINDS = (
@@ -261,24 +264,26 @@
 )  # fmt: skip
 
 
-class Fault(Part):
-    """One entry of the fault schedule: at `at` (or so long after the fault named `after` has ended) it befalls `nodes`
-    nodes or a `share` of the tier (or of its proxies), chosen by the seed, or the nodes named in `names`, one after
-    another by `stagger`, for `span` each.
+class Fault(ScenarioTable):
+    """One entry of the fault schedule. At `at` (or `at` after the end of the fault named `after`) it affects `nodes`
+    nodes or a `share` of the tier (or of its proxies), chosen by the seed, or the targets named in `names`, for `span`
+    each; with `stagger` one after another at this interval.
 
-    kill: the process dies, its connections are reset; it starts again cold after `for` (0: never).
-    restart: drains for `grace`, ends, and starts cold after `for`.   freeze: answers nothing, connections stay.
-    reset: a share `part` of connections break.   black-hole: silent, and new connections never come up.
-    slow: by `factor`.   errors: a share `part` of the requests fails at once.
+    kill: the process dies and its connections are reset; it starts again, cold, after `for` (0: never).
+    restart: drains for `grace`, stops, and starts cold after `for`.   freeze: no answers, connections stay open.
+    reset: a share `part` of the connections breaks.   black-hole: no data, new connections are never established.
+    slow: slower by `factor`.   errors: a share `part` of the requests fails at once.
     heavy-tail: a share `part` of the requests (of `cls`, if given) costs `factor` times the work.
-    drain: told as draining, serves on for `for`, then ends for good.
+    drain: published as draining, serves for `for`, then stops for good.
     replace: dies, and a new node with a new id starts cold at the same address after `for`.
-    discovery-down: answers nothing.   discovery-lies: tells a share `part` of the tier as gone that is not.
-    strip-headers: the tier's calls to the next carry the class's whole deadline for the time left, and no marks.
+    discovery-down: does not answer.   discovery-lies: a share `part` of the tier is falsely published as gone.
+    strip-headers: the tier's calls to the next tier carry the class's whole deadline instead of the time left, and no
+    retry marks.
     proxy-kill, proxy-stop: SIGKILL or SIGTERM to proxies of the tier, started again after `for`.
     proxy-freeze: SIGSTOP, and SIGCONT after `for`.
     proxy-reload: SIGHUP with a new configuration.
-    peer-cut: proxies of the tier and the others of it no longer hear each other.   peer-mute: they are not heard.
+    peer-cut: no datagrams between the targets and the other proxies of the tier.
+    peer-mute: the other proxies of the tier receive no datagrams from the targets.
     peer-lossy: a share `part` of the datagrams between proxies of the tier is lost."""
 
     name: Name = "fault"
@@ -306,17 +311,17 @@
         if not self.kind.startswith("discovery") and not self.tier:
             raise ValueError(f"tier: missing, kind {self.kind!r} needs it")
         chosen = bool(self.nodes) + bool(self.share) + bool(self.names)
-        everybody = self.kind.startswith(("discovery", "proxy", "peer")) or self.kind in (
+        defaults_to_all = self.kind.startswith(("discovery", "proxy", "peer")) or self.kind in (
             "strip-headers",
             "heavy-tail",
         )
-        if chosen > 1 or not (chosen or everybody):
+        if chosen > 1 or not (chosen or defaults_to_all):
             raise ValueError("nodes: give one of nodes, share and names")
         return self
 
 
-class Scenario(Part):
-    scenario: About
+class Scenario(ScenarioTable):
+    scenario: RunInfo
     proxy: Proxies = Proxies()
     fleet: Fleet = Fleet()
     rules: Rules = Rules()
@@ -331,7 +336,7 @@
 
     @model_validator(mode="after")
     def _names(self) -> Scenario:
-        """References between the parts; each error begins with the key at fault."""
+        """Checks references between the tables; each error starts with its key."""
         for key, names in (
             ("class", [c.name for c in self.classes]),
             ("tenant", [t.name for t in self.tenants]),
@@ -339,23 +344,23 @@
             ("tier.kind", [k.name for t in self.tiers for k in t.kind]),
             ("fault.name", [f.name for f in self.faults if f.name != "fault"]),
         ):
-            if twice := {n for n in names if names.count(n) > 1}:
-                raise ValueError(f"{key}: {sorted(twice)[0]!r} stands twice")
+            if duplicates := {n for n in names if names.count(n) > 1}:
+                raise ValueError(f"{key}: {sorted(duplicates)[0]!r} is used twice")
         classes, tenants = {c.name for c in self.classes}, {t.name for t in self.tenants}
         tiers = [t.name for t in self.tiers]
         for i, a in enumerate(self.arrivals):
             for key, named, known in (("classes", a.classes, classes), ("tenants", a.tenants, tenants)):
-                if lost := [n for n in named if n not in known]:
-                    raise ValueError(f"arrivals.{i}.{key}: no {key[:-1]} is named {lost[0]!r}")
-        earlier: set[str] = set()
+                if unknown := [n for n in named if n not in known]:
+                    raise ValueError(f"arrivals.{i}.{key}: no {key[:-1]} is named {unknown[0]!r}")
+        earlier_names: set[str] = set()
         for i, f in enumerate(self.faults):
             if f.tier and f.tier not in tiers:
                 raise ValueError(f"fault.{i}.tier: no tier is named {f.tier!r}")
             if f.cls and f.cls not in classes:
                 raise ValueError(f"fault.{i}.class: no class is named {f.cls!r}")
-            if f.after and f.after not in earlier:
+            if f.after and f.after not in earlier_names:
                 raise ValueError(f"fault.{i}.after: no earlier fault is named {f.after!r}")
-            earlier.add(f.name)
+            earlier_names.add(f.name)
         for i, t in enumerate(self.tiers):
             if t.calls and i + 1 == len(self.tiers):
                 raise ValueError(f"tier.{i}.calls: there is no further tier to call")
--- a/slatelab/scenario/units.py
+++ b/slatelab/scenario/units.py
@@ -1,5 +1,5 @@
-"""Quantities with units, as scenario files write them: "250 ms", "41/s", "35 %". This file owns what counts as a time,
-a rate and a share, and which numbers they become. It must never accept a bare number where a unit is asked for."""
+"""Quantities with units as written in scenario files: "250 ms", "41/s", "35 %". Converts times, rates and shares to
+numbers. Times and rates without a unit are rejected."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from pydantic import BeforeValidator, Field
 
 QUANTITY = re.compile(r"[-+]?([0-9]+\.?[0-9]*|\.[0-9]+)([eE][-+]?[0-9]+)? *[A-Za-zµμ%/ ]*")
-LONGEST_US = 24 * 3600 * 1_000_000
+MAX_TIME_US = 24 * 3600 * 1_000_000
 
 
 @cache
 def _registry() -> Any:
-    import pint  # takes a fifth of a second to load
+    import pint  # imported late: loading it takes 0.2 s
 
     return pint.UnitRegistry(cache_folder=None)
 
@@ -25,7 +25,7 @@
         raise ValueError(f"needs a unit, as in {example!r}; got {value!r}")
     if len(value) > 60:
         raise ValueError(f"too long for a quantity such as {example!r}")
-    # pint works sums out: one line of powers would keep it busy for hours
+    # pint evaluates arithmetic: an expression with nested powers would keep it busy for hours
     if not QUANTITY.fullmatch(value.strip()):
         raise ValueError(f"cannot be read: {value!r}; write it as in {example!r}")
     import pint
@@ -34,13 +34,13 @@
         return float(_registry().Quantity(value.strip()).to(unit).magnitude)
     except pint.DimensionalityError:
         raise ValueError(f"has the wrong unit: {value!r} is not like {example!r}") from None
-    except Exception:  # what pint raises on nonsense is of many types, down to those of Python's tokenizer
+    except Exception:  # pint raises many types on malformed input, even those of Python's tokenizer
         raise ValueError(f"cannot be read: {value!r}; write it as in {example!r}") from None
 
 
 def _time(value: Any) -> int:
     us = _convert(value, "microsecond", "250 ms")
-    if not 0 <= us <= LONGEST_US:
+    if not 0 <= us <= MAX_TIME_US:
         raise ValueError(f"must be between 0 and 24 hours, got {value!r}")
     return round(us)
 
@@ -54,10 +54,10 @@
 
 def _share(value: Any) -> float:
     """A fraction; "35 %" and 0.35 are the same."""
-    part = _convert(value, "dimensionless", "35 %") if isinstance(value, str) else value
-    if isinstance(part, bool) or not isinstance(part, int | float) or not 0 <= part <= 1:
+    share = _convert(value, "dimensionless", "35 %") if isinstance(value, str) else value
+    if isinstance(share, bool) or not isinstance(share, int | float) or not 0 <= share <= 1:
         raise ValueError(f"must be a share between 0 and 1 (or '0 %' and '100 %'), got {value!r}")
-    return float(part)
+    return float(share)
 
 
 Time = Annotated[int, BeforeValidator(_time)]  # microseconds
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario reader against files that are wrong, and the scenarios of the lab against its own rules."""
+"""The scenario reader with invalid files, and the scenarios of the lab against its own rules."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 FOLDER = Path(__file__).parents[2] / "scenarios"
 FILES = sorted(FOLDER.glob("*.toml"))
-GOOD = """
+VALID_SCENARIO = """
 [scenario]
 name = "good"
 duration = "10 s"
@@ -46,7 +46,7 @@
 tier = "front"
 nodes = 1
 """
-BROKEN = [  # what stands in GOOD, what is put there, the key that is named, a part of the reason
+INVALID_CHANGES = [  # text in VALID_SCENARIO, its replacement, the reported key, part of the reason
     ("", "[", "", "cannot be read: "),
     ("", "x = " + "1" * 5000, "", "cannot be read: "),
     ("", "x = " + "[" * 5000, "", "cannot be read: nested too deeply"),
@@ -85,43 +85,49 @@
 ]
 
 
-@pytest.mark.parametrize(("good", "bad", "key", "reason"), BROKEN, ids=lambda part: str(part)[:30])
-def test_a_broken_file_is_answered_with_file_key_and_reason(
-    tmp_path: Path, good: str, bad: str, key: str, reason: str
+@pytest.mark.parametrize(
+    ("original", "replacement", "key", "reason"), INVALID_CHANGES, ids=lambda value: str(value)[:30]
+)
+def test_an_invalid_file_is_reported_with_file_key_and_reason(
+    tmp_path: Path, original: str, replacement: str, key: str, reason: str
 ) -> None:
     path = tmp_path / "broken.toml"
-    assert good in GOOD
-    path.write_text(GOOD.replace(good, bad, 1) if good else bad)
-    with pytest.raises(ScenarioError) as answer:
+    assert original in VALID_SCENARIO
+    path.write_text(VALID_SCENARIO.replace(original, replacement, 1) if original else replacement)
+    with pytest.raises(ScenarioError) as error:
         load(path)
     start = f"{path}: {key}" if key else f"{path}: "
-    assert any(line.startswith(start) and reason in line for line in answer.value.lines), answer.value
+    assert any(line.startswith(start) and reason in line for line in error.value.lines), error.value
 
 
-def test_all_faults_are_told_at_once_and_a_change_to_no_key_is_one(tmp_path: Path) -> None:
+def test_all_errors_are_reported_together_and_a_change_to_an_unknown_key_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "broken.toml"
-    path.write_text(GOOD.replace('"10 s"', "10").replace("nodes = 4", "nodes = 0"))
+    path.write_text(VALID_SCENARIO.replace('"10 s"', "10").replace("nodes = 4", "nodes = 0"))
     with pytest.raises(ScenarioError, match=r"(?s)scenario\.duration: .*tier\.0\.kind\.0\.nodes: "):
         load(path)
-    path.write_text(GOOD)
+    path.write_text(VALID_SCENARIO)
     assert load(path, {"arrivals.0.rate": "7/s"}).arrivals[0].rate == 7
     with pytest.raises(ScenarioError, match=r"arrivals\.3\.rate: there is no such key"):
         load(path, {"arrivals.3.rate": "7/s"})
 
 
-def _ways(tree: Any) -> list[tuple[Any, ...]]:
-    """The path of every value in a tree."""
-    inside = tree.items() if isinstance(tree, dict) else enumerate(tree) if isinstance(tree, list) else ()
-    return [way for key, value in inside for way in [(key,), *((key, *rest) for rest in _ways(value))]]
+def _paths(tree: Any) -> list[tuple[Any, ...]]:
+    """The paths of all values in a tree."""
+    children = tree.items() if isinstance(tree, dict) else enumerate(tree) if isinstance(tree, list) else ()
+    return [
+        key_path
+        for key, value in children
+        for key_path in [(key,), *((key, *rest) for rest in _paths(value))]
+    ]
 
 
 TREES = [tomllib.loads(path.read_text()) for path in FILES]
-PLACES = [(tree, way) for tree in TREES for way in _ways(tree)]
+POSITIONS = [(tree, key_path) for tree in TREES for key_path in _paths(tree)]
 TEXT = st.text(max_size=20)
 QUANTITY = st.builds(
     "{} {}".format, st.floats() | st.integers(), st.sampled_from(["s", "ms", "/s", "%", "m", ""])
 )
-JUNK = st.recursive(
+ARBITRARY_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | TEXT | QUANTITY | st.dates(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXT, inner, max_size=3),
     max_leaves=5,
@@ -129,69 +135,73 @@
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=1500)
-@given(st.sampled_from(PLACES), JUNK, st.sampled_from(["put", "drop", "add"]))
+@given(st.sampled_from(POSITIONS), ARBITRARY_VALUES, st.sampled_from(["put", "drop", "add"]))
 @example((TREES[0], ("scenario", "duration")), "nan s", "put")
-def test_whatever_stands_in_the_tree_the_answer_is_a_scenario_or_names_file_and_key(
-    place: tuple[dict[str, Any], tuple[Any, ...]], junk: Any, how: str
+def test_any_tree_gives_a_scenario_or_errors_with_file_and_key(
+    position: tuple[dict[str, Any], tuple[Any, ...]], value: Any, operation: str
 ) -> None:
-    tree = copy.deepcopy(place[0])
-    *way, last = place[1]
-    at: Any = tree
-    for part in way:
-        at = at[part]
-    if how == "drop":
-        del at[last]
+    tree = copy.deepcopy(position[0])
+    *parents, last = position[1]
+    table: Any = tree
+    for segment in parents:
+        table = table[segment]
+    if operation == "drop":
+        del table[last]
     else:
-        at[last if how == "put" else (len(at) - 1 if isinstance(at, list) else "unheard-of")] = junk
+        table[
+            last if operation == "put" else (len(table) - 1 if isinstance(table, list) else "unheard-of")
+        ] = value
     try:
         assert isinstance(parse(tree, "mangled.toml"), Scenario)
-        assert how != "add" or isinstance(at, list), "a key that the format has not was passed over"
-    except ScenarioError as answer:
-        first = re.escape(str(place[1][0])) if way else "[^ ]+"
-        assert answer.lines
-        for line in answer.lines:
+        assert operation != "add" or isinstance(table, list), "an unknown key was accepted"
+    except ScenarioError as error:
+        first = re.escape(str(position[1][0])) if parents else "[^ ]+"
+        assert error.lines
+        for line in error.lines:
             assert re.fullmatch(r"mangled\.toml: ([A-Za-z0-9_.-]+|[a-z0-9_.]*(['\"]).*\2): .+", line), line
-        if how != "drop":
-            assert any(re.match(rf"mangled\.toml: ({first}|arrivals|fault)", line) for line in answer.lines)
+        if operation != "drop":
+            assert any(re.match(rf"mangled\.toml: ({first}|arrivals|fault)", line) for line in error.lines)
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_a_scenario_of_the_lab_can_be_played_and_says_what_it_shows(path: Path) -> None:
+def test_a_scenario_of_the_lab_can_be_run_and_states_its_purpose(path: Path) -> None:
     scenario = load(path)
     assert scenario.scenario.name == path.stem
     assert path.read_text().startswith("# ") and "shows:" in path.read_text().partition("[scenario]")[0]
     assert find_errors(scenario, FOLDER) == []
     draw = RandomStreams(scenario.scenario.seed)
     nodes = build_nodes(scenario, draw)
-    before = build_proxies(scenario, nodes)
+    proxies = build_proxies(scenario, nodes)
     last = max(
-        (change.at for change in build_fault_schedule(scenario, draw, nodes, before) if not change.is_start),
+        (change.at for change in build_fault_schedule(scenario, draw, nodes, proxies) if not change.is_start),
         default=0,
     )
     assert last <= scenario.scenario.duration
     seconds = scenario.scenario.duration / 1e6
     busiest = max(load.peak / load.capacity for load in offered_load(scenario))
     if path.stem == "hundred-proxies":
-        assert (len(nodes), len(before)) == (1000, 100) and len(
+        assert (len(nodes), len(proxies)) == (1000, 100) and len(
             generate_orders(scenario, draw, FOLDER)
         ) <= 20_000
-    else:  # modest enough for the live engine on eight cores
+    else:  # small enough for the live engine on eight cores
         rate = len(generate_orders(scenario, draw, FOLDER)) / seconds
-        assert 15 <= seconds <= 45 and rate <= 320 and len(before) <= 10
-    beyond = ("flash-crowd", "one-loud", "storm-tenant")
-    assert (busiest > 1) == (path.stem in beyond)  # the others peak within what nodes can do
-
-
-def _keys(part: type[BaseModel]) -> set[str]:
-    """Every key of the format, also of the tables inside."""
-    found = {field.alias or name for name, field in part.model_fields.items()}
-    inside = {inner for field in part.model_fields.values() for inner in get_args(field.annotation)}
-    inside |= {field.annotation for field in part.model_fields.values()}
-    tables = {table for table in inside if isinstance(table, type) and issubclass(table, BaseModel)}
+        assert 15 <= seconds <= 45 and rate <= 320 and len(proxies) <= 10
+    overloaded = ("flash-crowd", "one-loud", "storm-tenant")
+    assert (busiest > 1) == (
+        path.stem in overloaded
+    )  # the peaks of the others are within the capacity of the nodes
+
+
+def _keys(table_type: type[BaseModel]) -> set[str]:
+    """All keys of a table of the format, including nested tables."""
+    found = {field.alias or name for name, field in table_type.model_fields.items()}
+    children = {inner for field in table_type.model_fields.values() for inner in get_args(field.annotation)}
+    children |= {field.annotation for field in table_type.model_fields.values()}
+    tables = {table for table in children if isinstance(table, type) and issubclass(table, BaseModel)}
     return found.union(*(_keys(table) for table in tables))
 
 
-def test_the_operators_text_knows_every_key_and_fault_and_its_example_can_be_played() -> None:
+def test_the_operators_page_has_every_key_and_fault_and_a_valid_example() -> None:
     text = (FOLDER.parent / "docs" / "operators" / "scenarios.md").read_text()
     _, example_text, rest = re.split(r"```(?:toml)?\n", text)
     words = set(re.findall(r"[a-z_]+", " ".join(re.findall(r"`[^`]+`", rest))))
