--- a/slatelab/judge/__init__.py
+++ b/slatelab/judge/__init__.py
@@ -1,6 +1,6 @@
-"""The judge: proves from what was seen whether the proxies kept the platform's rules. It rests on
-`slatelab.records` alone, and must never import slatehub, paddlestep, an engine or the plant's machines: a
-shared mistake would acquit itself."""
+"""The judge: proves from the records of a run whether the proxies kept the platform's rules. It depends only on
+`slatelab.records` and the scenario, and does not import slatehub, paddlestep, an engine or the plant: an error in
+shared code would hide itself from the judge."""
 
 from .checker import judge
 from .report import RULES, JudgeReport, Violation
--- a/slatelab/judge/case.py
+++ b/slatelab/judge/case.py
@@ -1,5 +1,5 @@
-"""One request's facts as a case: what its caller saw, and its attempts with what became of each. This file
-owns the pairing of facts. It must never say what is allowed."""
+"""Groups the facts of one request into a case: what its caller observed, and its attempts with their outcomes. Matches
+facts with each other and applies no rules."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class Attempt:
-    """One Came, and the answer that its node gave to it: of several unanswered ones of a request at one node,
-    an answer goes to the last, as earlier ones may have been dropped without a word."""
+    """One Came and the reply of its node. If several attempts of a request at one node are unanswered, a reply belongs
+    to the last of them, because earlier ones may have been dropped without a reply."""
 
     __slots__ = ("came", "replied")
 
@@ -23,15 +23,15 @@
         self.came = came
         self.replied: Replied | None = None
 
-    def harmless_from(self) -> int:
-        """When it was proved that it had not run and never will; NEVER where it may have run."""
+    def known_not_run_from(self) -> int:
+        """From when it was proved that the attempt has not run and never will; NEVER if it may have run."""
         return self.replied.t if self.replied and self.replied.turned else NEVER
 
 
 class Case:
-    """Built from the facts of one request in order of time. `asked` is the last Asked: a caller whose
-    connection was closed before the proxy had read the request may write it once more (RFC 9112, 9.3.1), and
-    what ended before that ended nothing. `end` is the first end after it; `ends` are all."""
+    """Built from the facts of one request in order of time. `asked` is the last Asked: a caller whose connection was
+    closed before the proxy had read the request may write it once more (RFC 9112, 9.3.1), so ends before that do not
+    end the request. `end` is the first end after it; `ends` are all of them."""
 
     __slots__ = ("asked", "attempts", "began", "end", "ends", "facts", "replied", "request")
 
@@ -44,15 +44,15 @@
         self.began: list[Began] = []
         self.replied: list[Replied] = []
         for fact in facts:
-            self._take(fact)
+            self._add(fact)
 
-    def _take(self, fact: RequestFact) -> None:
+    def _add(self, fact: RequestFact) -> None:
         if isinstance(fact, Came):
             self.attempts.append(Attempt(fact))
         elif isinstance(fact, Began):
             self.began.append(fact)
         elif isinstance(fact, Replied):
-            self._reply(fact)
+            self._add_reply(fact)
         elif isinstance(fact, Asked):
             self.asked = fact
             if isinstance(self.end, BrokenOff):
@@ -61,7 +61,7 @@
             self.ends.append(fact)
             self.end = self.end or fact
 
-    def _reply(self, fact: Replied) -> None:
+    def _add_reply(self, fact: Replied) -> None:
         self.replied.append(fact)
         for attempt in reversed(self.attempts):
             if not attempt.replied and (attempt.came.node, attempt.came.life) == (fact.node, fact.life):
--- a/slatelab/judge/checker.py
+++ b/slatelab/judge/checker.py
@@ -1,6 +1,6 @@
-"""The way of a run through the judge: facts are sorted to the requests and the timeline they belong to, then
-each request, each order and each cold start is judged by itself. This file owns that order and what is held
-meanwhile: references to all facts, and one case at a time. It must never hold a rule on a single request."""
+"""Runs the judge over the records of a run: facts are grouped by request or added to the timeline, then each request,
+each order and each cold start is judged separately. Keeps references to all facts, and one case at a time. The rules on
+single requests are in `requests`."""
 
 from __future__ import annotations
 
@@ -13,70 +13,74 @@
 from slatelab.scenario import Scenario
 
 from .case import REQUEST_FACTS, Case, RequestFact
-from .cold import fallible, pushed_over
-from .fleet_rules import judge as judge_whole
-from .report import Docket, JudgeReport, Violation, history
-from .requests import Maker, Requests
+from .cold import can_crash_cold, cold_overload
+from .fleet_rules import judge as judge_fleet
+from .report import JudgeReport, Violation, ViolationCollector, history
+from .requests import ReplyFinder, Requests
 from .timeline import Timeline
 
 Groups = dict[str, list[RequestFact]]
-Life = tuple[str, int]  # of a node
+Life = tuple[str, int]  # node and its number of earlier starts
 
 
 def judge(scenario: Scenario, records: Iterable[Record]) -> JudgeReport:
-    """Proves or refutes each rule for each request, order, node and proxy of a run. The recording's end is
-    its last record: what was open then counts as unanswered. A scenario without proxies (proxy.kind "direct")
-    has nobody to judge. Needs a reference to every record at once; a million take some seconds."""
+    """Checks each rule for each request, order, node and proxy of a run. The recording ends with its last record:
+    requests that are open then count as unanswered. A scenario without proxies (proxy.kind "direct") has no violations.
+    Keeps a reference to every record; a million records take some seconds."""
     if scenario.proxy.kind == "direct":
         return JudgeReport()
     records = list(records)
-    groups, rest, end = _sort_out(records)
-    timeline = Timeline(scenario.rules, rest, end)
-    docket, requests, orders = Docket(), Requests(scenario, timeline, _maker(groups)), Orders(scenario)
-    colds = {(up.node, up.life): up for up in timeline.ups if fallible(scenario, up)}
+    groups, other_facts, end = _group_facts(records)
+    timeline = Timeline(scenario.rules, other_facts, end)
+    violations, requests, orders = (
+        ViolationCollector(),
+        Requests(scenario, timeline, _reply_finder(groups)),
+        OrderChecks(scenario),
+    )
+    cold_starts = {(up.node, up.life): up for up in timeline.ups if can_crash_cold(scenario, up)}
     came: dict[Life, list[Came]] = defaultdict(list)
     for request, facts in groups.items():
         case = Case(request, facts)
-        docket.enter(requests.judge(case))
-        orders.take(case, requests.is_unsafe(case))
-        for attempt in case.attempts if colds else ():
-            if (where := (attempt.came.node, attempt.came.life)) in colds:
-                came[where].append(attempt.came)
-    docket.enter(orders.ran_twice(groups))
-    docket.enter(_colds(scenario, timeline, colds, came))
-    docket.enter(_crashes(timeline, rest))
-    docket.enter(judge_whole(scenario, records))
-    return docket.close(len(groups), orders.count)
-
-
-def _sort_out(records: Iterable[Record]) -> tuple[Groups, list[Record], int]:
-    """Facts by request, all others, and the time of the last. A request is a key of the result from its first
-    fact on, so the order of cases is that of the run."""
+        violations.add(requests.judge(case))
+        orders.add(case, requests.is_unsafe(case))
+        for attempt in case.attempts if cold_starts else ():
+            if (life := (attempt.came.node, attempt.came.life)) in cold_starts:
+                came[life].append(attempt.came)
+    violations.add(orders.ran_twice(groups))
+    violations.add(_cold_violations(scenario, timeline, cold_starts, came))
+    violations.add(_crash_violations(timeline, other_facts))
+    violations.add(judge_fleet(scenario, records))
+    return violations.report(len(groups), orders.count)
+
+
+def _group_facts(records: Iterable[Record]) -> tuple[Groups, list[Record], int]:
+    """Facts by request, all other facts, and the time of the last fact. Requests are in the order of their first fact,
+    so cases are in the order of the run."""
     groups: Groups = defaultdict(list)
-    rest: list[Record] = []
-    inorder = sorted(records, key=attrgetter("t"))
-    for fact in inorder:
+    other_facts: list[Record] = []
+    sorted_facts = sorted(records, key=attrgetter("t"))
+    for fact in sorted_facts:
         if isinstance(fact, REQUEST_FACTS):
             groups[fact.request].append(fact)
         else:
-            rest.append(fact)
-    return groups, rest, inorder[-1].t if inorder else 0
+            other_facts.append(fact)
+    return groups, other_facts, sorted_facts[-1].t if sorted_facts else 0
 
 
-def _maker(groups: Groups) -> Maker:
-    """Made only once somebody asks: a clean run never needs it."""
+def _reply_finder(groups: Groups) -> ReplyFinder:
+    """Finds replies by token. The index is built at the first call: a run without violations never needs it."""
 
     @cache
-    def makers() -> dict[str, Replied]:
+    def replies_by_token() -> dict[str, Replied]:
         replies = (fact for facts in groups.values() for fact in facts if isinstance(fact, Replied))
         return {fact.token: fact for fact in replies if fact.status == 200}
 
-    return lambda token: makers().get(token)
+    return lambda token: replies_by_token().get(token)
 
 
-class Orders:
-    """Which tries of each unsafe order have begun at a node of the first tier. Calls of nodes are not tries:
-    they are judged by their own request."""
+class OrderChecks:
+    """Which attempts of each unsafe order have begun at a node of the first tier. Calls made by nodes are no attempts
+    of the client: they are judged as requests of their own."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._judged = not scenario.clients.reckless
@@ -88,7 +92,7 @@
     def count(self) -> int:
         return len(self._tries)
 
-    def take(self, case: Case, unsafe: bool) -> None:
+    def add(self, case: Case, unsafe: bool) -> None:
         if "/" in case.request:
             return
         order = order_id(case.request)
@@ -98,7 +102,7 @@
             self._unsafe.add(order)
 
     def ran_twice(self, groups: Groups) -> Iterator[Violation]:
-        """Two tries of an unsafe order both began, though its client comes back only where nothing can have
+        """Orders of which two attempts began although they are unsafe: the client retries only if nothing can have
         run."""
         for order in self._tries if self._judged else ():
             began = sorted(self._began[order], key=attrgetter("t"))
@@ -110,23 +114,23 @@
                 yield Violation("order-ran-twice", order, at, text, facts)
 
 
-def _colds(
-    scenario: Scenario, timeline: Timeline, colds: dict[Life, Up], came: dict[Life, list[Came]]
+def _cold_violations(
+    scenario: Scenario, timeline: Timeline, cold_starts: dict[Life, Up], came: dict[Life, list[Came]]
 ) -> Iterator[Violation]:
-    for where, up in colds.items():
-        if found := pushed_over(scenario, timeline, up, sorted(came[where], key=attrgetter("t"))):
+    for life, up in cold_starts.items():
+        if found := cold_overload(scenario, timeline, up, sorted(came[life], key=attrgetter("t"))):
             yield found
 
 
-def _crashes(timeline: Timeline, rest: list[Record]) -> Iterator[Violation]:
-    """Every end of a proxy that the lab did not bring about, with the last of its log."""
-    lines = [fact for fact in rest if isinstance(fact, Logged)]
-    for proxy, lives in timeline.proxies.items():
-        for fact in lives:
+def _crash_violations(timeline: Timeline, other_facts: list[Record]) -> Iterator[Violation]:
+    """Every end of a proxy that the lab did not cause, with the last lines of its log."""
+    lines = [fact for fact in other_facts if isinstance(fact, Logged)]
+    for proxy, events in timeline.proxies.items():
+        for fact in events:
             if isinstance(fact, ProxyDown) and fact.why == "crashed":
                 log = [
                     line
                     for line in lines
                     if line.proxy == proxy and line.t <= fact.t + timeline.slack(fact.t)
                 ]
-                yield Violation("proxy-crashed", "", fact.t, f"{proxy} crashed", history(lives, log[-20:]))
+                yield Violation("proxy-crashed", "", fact.t, f"{proxy} crashed", history(events, log[-20:]))
--- a/slatelab/judge/report.py
+++ b/slatelab/judge/report.py
@@ -1,6 +1,5 @@
-"""What the judge hands out: violations with their whole history, and how many there were of each rule. This
-file owns their form, their wording as text, and the bound on how many are kept. It must never decide whether
-a rule was broken."""
+"""The report of the judge: violations with their history, and the number of violations of each rule. Defines their
+types, their text form and the limits on how many are kept."""
 
 from __future__ import annotations
 
@@ -15,14 +14,13 @@
     "refused-after-run", "too-many-attempts", "sent-to-drained", "cold-pushed-over", "wrong-answer",
     "proxy-crashed", "fleet-attempts", "worth-inverted",
 )  # fmt: skip
-MOST = 100  # violations kept in full
-LONGEST = 1000  # facts kept of one history
+MAX_VIOLATIONS = 100  # violations kept with their history
+MAX_HISTORY = 1000  # facts kept of one history
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One broken rule. `request` is "" where the rule is about a node or a proxy, an order's name where it is
-    about an order; `t` is when it was broken, microseconds since the run's epoch; `history` is in order of
-    time."""
+    """One broken rule. `request` is "" if the rule is about a node or a proxy, and the order's name if it is about an
+    order; `t` is when it was broken, in microseconds since the run's epoch; `history` is in order of time."""
 
     rule: str
     request: str
@@ -31,7 +29,7 @@
     history: tuple[Record, ...] = ()
 
     def explain(self) -> str:
-        """The sentence, and each fact of the history in a line, times in milliseconds."""
+        """The violation as text, with one line for each fact of the history and times in milliseconds."""
         about = f" {self.request}" if self.request else ""
         lines = [f"{self.rule}{about} at {ms(self.t)} ms: {self.text}"]
         for fact in self.history:
@@ -42,8 +40,8 @@
 
 
 class JudgeReport(msgspec.Struct):
-    """The verdict on a run: at most MOST violations in order of time, each rule that was broken among them,
-    and in `counts` how often each was broken in all. `requests` and `orders` are how many were judged."""
+    """The verdict on a run: at most MAX_VIOLATIONS violations in order of time, which include each broken rule, and in
+    `counts` the total number of violations by rule. `requests` and `orders` are how many were judged."""
 
     violations: list[Violation] = []
     counts: dict[str, int] = {}
@@ -55,53 +53,55 @@
         return not self.counts
 
 
-class Docket:
-    """Takes violations as they are found. The earliest found of each rule are kept, so a flood of one kind
-    cannot push the only one of another out."""
+class ViolationCollector:
+    """Collects violations as they are found. The first ones of each rule are kept, so many violations of one rule
+    cannot displace the only one of another."""
 
     def __init__(self) -> None:
         self.counts = dict.fromkeys(RULES, 0)
         self._kept: dict[str, list[Violation]] = {rule: [] for rule in RULES}
 
-    def enter(self, found: Iterable[Violation]) -> None:
-        for violation in found:
+    def add(self, violations: Iterable[Violation]) -> None:
+        for violation in violations:
             self.counts[violation.rule] += 1
-            if len(self._kept[violation.rule]) < MOST:
+            if len(self._kept[violation.rule]) < MAX_VIOLATIONS:
                 self._kept[violation.rule].append(violation)
 
-    def close(self, requests: int, orders: int) -> JudgeReport:
+    def report(self, requests: int, orders: int) -> JudgeReport:
         broken = {rule: count for rule, count in self.counts.items() if count}
-        kept = sorted(self._choose(), key=lambda violation: violation.t)
+        kept = sorted(self._select(), key=lambda violation: violation.t)
         return JudgeReport(kept, broken, requests, orders)
 
-    def _choose(self) -> list[Violation]:
-        """In turns from each rule until there are MOST."""
-        turns = (row[i] for i in range(MOST) for row in self._kept.values() if i < len(row))
-        return [violation for violation, _ in zip(turns, range(MOST), strict=False)]
+    def _select(self) -> list[Violation]:
+        """Takes violations from each rule in turn, up to MAX_VIOLATIONS."""
+        interleaved = (row[i] for i in range(MAX_VIOLATIONS) for row in self._kept.values() if i < len(row))
+        return [violation for violation, _ in zip(interleaved, range(MAX_VIOLATIONS), strict=False)]
 
 
 def history(*parts: Iterable[Record]) -> tuple[Record, ...]:
-    """Facts from several places in order of time, each once; of more than LONGEST the first and the last
-    halves."""
-    each = {id(fact): fact for part in parts for fact in part}
-    facts = sorted(each.values(), key=lambda fact: fact.t)
-    if len(facts) > LONGEST:
-        facts = facts[: LONGEST // 2] + facts[-LONGEST // 2 :]
+    """Facts from several sources in order of time, each once. Of more than MAX_HISTORY facts, the first and the last
+    MAX_HISTORY / 2 are kept."""
+    unique = {id(fact): fact for part in parts for fact in part}
+    facts = sorted(unique.values(), key=lambda fact: fact.t)
+    if len(facts) > MAX_HISTORY:
+        facts = facts[: MAX_HISTORY // 2] + facts[-MAX_HISTORY // 2 :]
     return tuple(facts)
 
 
 def ms(t: int) -> str:
-    """Microseconds as milliseconds with all three decimals."""
+    """Formats microseconds as milliseconds with three decimals."""
     sign = "-" if t < 0 else ""
     return f"{sign}{abs(t) // 1000}.{abs(t) % 1000:03}"
 
 
 def _fields(fact: Record, request: str) -> str:
-    return " ".join(f"{name}={value}" for name, value in _told(fact) if (name, value) != ("request", request))
+    return " ".join(
+        f"{name}={value}" for name, value in _set_fields(fact) if (name, value) != ("request", request)
+    )
 
 
-def _told(fact: Record) -> Iterator[tuple[str, object]]:
-    """Names and values, without the time and what was left at its default."""
+def _set_fields(fact: Record) -> Iterator[tuple[str, object]]:
+    """Names and values of the fields, without the time and fields that have their default."""
     for field in msgspec.structs.fields(fact):
         value = getattr(fact, field.name)
         if field.name != "t" and (field.required or value != field.default):
--- a/slatelab/judge/timeline.py
+++ b/slatelab/judge/timeline.py
@@ -1,10 +1,9 @@
-"""What the lab, discovery and the nodes' own lives say of a run, made ready to be asked: which proxy was
-alive when, what it had been told, which node could not listen, where the lab itself was late. This file owns
-these questions. It must never look at a single request.
+"""Index of all facts that do not belong to a request: when each proxy was alive, what discovery had told it, which
+nodes were unresponsive, and when the lab itself was late.
 
-How long two stamps may be out of order: a fact is stamped after what it tells of, by a party of its own. So
-facts of different parties are compared with SKEW_US, plus the largest `Lagged.by_us` said within NEAR_US
-around either of the two times, where a Lagged at `t` speaks for all from `t - by_us` to `t`."""
+Tolerance between timestamps: a fact is stamped after the event it describes, by one of several parties. So facts of
+different parties are compared with a tolerance of SKEW_US, plus the largest `Lagged.by_us` recorded within NEAR_US of
+either of the two times, where a Lagged at `t` applies to the time from `t - by_us` to `t`."""
 
 from __future__ import annotations
 
@@ -19,21 +18,21 @@
 
 SKEW_US = 2_000
 NEAR_US = 100_000
-STOP_GRACE_US = (
-    700_000  # what comes later than this after a planned stop is the proxy's to answer, or not to take
+STOP_MARGIN_US = (
+    700_000  # later than this after a planned stop, a proxy must answer requests or not accept them
 )
-STOP_MOST_US = 3_000_000  # of a planned stop: the longest deadline counts as no longer than this
+MAX_STOP_GRACE_US = 3_000_000  # a longer longest deadline does not extend the time of a planned stop
 NEVER = 2**62
-RENEWED = re.compile(r"-r\d+$")
-DEAF = (
+REPLACEMENT_SUFFIX = re.compile(r"-r\d+$")
+UNRESPONSIVE_FAULTS = (
     "freeze",
     "black-hole",
     "proxy-freeze",
-)  # faults under which a node or a proxy neither reads nor is heard
+)  # faults during which a node or a proxy neither receives nor sends
 
 
 class Span(NamedTuple):
-    """A time in which something holds, from and including `start` until `end`; `fact` is what began it."""
+    """A time span from `start` (included) until `end` (excluded); `fact` is the fact that started it."""
 
     start: int
     end: int
@@ -41,7 +40,7 @@
 
 
 class Timeline:
-    """Built once from all facts that are not of a request. Times are microseconds since the run's epoch."""
+    """Built once from all facts that do not belong to a request. Times are microseconds since the run's epoch."""
 
     def __init__(self, rules: Rules, facts: Iterable[Record], end: int) -> None:
         self.end = end  # of the recording
@@ -49,39 +48,41 @@
         self.downs: dict[str, list[Down]] = defaultdict(list)
         self.proxies: dict[str, list[ProxyUp | ProxyDown]] = defaultdict(list)
         self._rules = rules
-        self._late: dict[int, int] = {}
+        self._max_lag: dict[int, int] = {}
         self._starts: dict[str, list[Told]] = defaultdict(list)
-        self._deaf: dict[str, list[Span]] = defaultdict(list)  # by place; several faults may overlap
-        self._told = _Spans()  # by proxy and node: told that it drains or is gone
-        self._anyone = _Spans()  # by node: the same, whoever was told first
+        self._unresponsive: dict[str, list[Span]] = defaultdict(
+            list
+        )  # by original node id or proxy; spans may overlap
+        self._told_spans = _SpanTable()  # by proxy and node: told that the node drains or is gone
+        self._first_told_spans = _SpanTable()  # by node: the same, from the first proxy that was told
         for fact in facts:
-            self._take(fact)
+            self._add(fact)
 
     # ------------------------------------------------------------ the lab
 
     def lag(self, *times: int) -> int:
-        """By how much the lab was late near any of these times; 0 where it was not."""
-        return max(self._late.get(t // NEAR_US, 0) for t in times) if self._late else 0
+        """By how many microseconds the lab was late near any of these times; 0 if it was not."""
+        return max(self._max_lag.get(t // NEAR_US, 0) for t in times) if self._max_lag else 0
 
     def slack(self, *times: int) -> int:
-        """How far stamps near these times may be out of order."""
+        """Tolerance in microseconds between timestamps near these times."""
         return SKEW_US + self.lag(*times)
 
-    def deaf(self, node: str, start: int, end: int) -> bool:
-        """Whether a fault kept the node from reading at some time between. Faults name the place: the id of
-        the node that stood there first."""
-        spans = self._deaf.get(RENEWED.sub("", node), ())
+    def unresponsive(self, node: str, start: int, end: int) -> bool:
+        """Whether a fault made the node or proxy unresponsive at some time in between. Faults name a node by the id of
+        the original node at its place."""
+        spans = self._unresponsive.get(REPLACEMENT_SUFFIX.sub("", node), ())
         return any(span.start <= end and start < span.end for span in spans)
 
     # ------------------------------------------------------------ proxies
 
-    def woke(self, proxy: str, t: int) -> int:
-        """When the proxy, which a fault had stopped, last went on by `t`; before the run where none had."""
-        return max((span.end for span in self._deaf.get(proxy, ()) if span.end <= t), default=-NEVER)
+    def resumed_at(self, proxy: str, t: int) -> int:
+        """The last time up to `t` at which the proxy resumed after a fault; before the run if there was none."""
+        return max((span.end for span in self._unresponsive.get(proxy, ()) if span.end <= t), default=-NEVER)
 
     def ended(self, proxy: str, start: int, end: int) -> ProxyDown | None:
-        """The first end of the proxy's process between the two times, both included; or the one before them
-        after which it had not answered ready again."""
+        """The first end of the proxy's process between the two times, both included; or an earlier end after which it
+        had not become ready again by `start`."""
         found = None
         for fact in self.proxies.get(proxy, ()):
             if fact.t > end:
@@ -92,8 +93,8 @@
                 found = fact
         return found
 
-    def planned(self, proxy: str, t: int) -> ProxyDown | None:
-        """The planned stop that the proxy had been told of by `t` in the life that it had then."""
+    def planned_stop(self, proxy: str, t: int) -> ProxyDown | None:
+        """The planned stop that the proxy's current process had been told of by `t`."""
         found = None
         for fact in self.proxies.get(proxy, ()):
             if fact.t > t:
@@ -104,62 +105,65 @@
                 found = fact
         return found
 
-    # ------------------------------------------------------------ what a proxy had been told
+    # ------------------------------------------------------------ what discovery told a proxy
 
-    def gone(self, proxy: str, node: str, t: int) -> Span | None:
-        """Since when the proxy counts as told, at `t`, that the node drains or is gone. Told: by discovery
-        itself, in its present life, and not told SERVING again since. Deemed told: `ask_every` after
-        discovery first told it to anyone (or after the proxy's own start, if that was later), until it told
-        anyone SERVING again. A change that discovery told nobody is not known here."""
-        if not self._anyone.knows(node):
+    def told_gone(self, proxy: str, node: str, t: int) -> Span | None:
+        """Since when the proxy counts as told, at `t`, that the node drains or is gone. It was told if discovery told
+        its current process and has not told it SERVING since. It is assumed to be told `ask_every` after discovery
+        first told any proxy (or after the proxy's own start, if that was later), until discovery tells any proxy
+        SERVING again. Changes that discovery told no proxy are not considered."""
+        if not self._first_told_spans.has_spans(node):
             return None
-        own = self._told.at(f"{proxy} {node}", t)
-        anyone = self._anyone.at(node, t)
-        deemed = None
-        if anyone:
-            since = max(anyone.start, self._started(proxy, t)) + self._rules.ask_every
-            deemed = Span(since, anyone.end, anyone.fact) if since <= t else None
-        return min((span for span in (own, deemed) if span), default=None, key=lambda span: span.start)
+        own = self._told_spans.at(f"{proxy} {node}", t)
+        first_told = self._first_told_spans.at(node, t)
+        assumed = None
+        if first_told:
+            since = max(first_told.start, self._started(proxy, t)) + self._rules.ask_every
+            assumed = Span(since, first_told.end, first_told.fact) if since <= t else None
+        return min((span for span in (own, assumed) if span), default=None, key=lambda span: span.start)
 
     def informed(self, proxy: str, up: Up, t: int) -> bool:
-        """Whether the proxy counts as told, at `t`, of this start of a node: discovery has told it SERVING
-        with a `since` later than the node's last end before; or has told anyone so `ask_every` earlier (and
-        the proxy runs for as long)."""
-        heard = [told for told in self._starts[up.node] if told.t <= t and self._is_of(told, up)]
-        deemed = bool(heard) and max(heard[0].t, self._started(proxy, t)) + self._rules.ask_every <= t
-        return deemed or any(told.proxy == proxy for told in heard)
+        """Whether the proxy counts as told, at `t`, of this start of a node: discovery has told it SERVING with a
+        `since` later than the node's last end before the start; or has told any proxy so at least `ask_every`
+        earlier, and the proxy has been running for that long."""
+        tellings = [told for told in self._starts[up.node] if told.t <= t and self._refers_to(told, up)]
+        assumed = bool(tellings) and max(tellings[0].t, self._started(proxy, t)) + self._rules.ask_every <= t
+        return assumed or any(told.proxy == proxy for told in tellings)
 
-    def told_of(self, up: Up) -> list[Told]:
-        """What discovery said of this start, to whomever."""
-        return [told for told in self._starts[up.node] if self._is_of(told, up)]
+    def starts_told(self, up: Up) -> list[Told]:
+        """The facts in which discovery told any proxy of this start."""
+        return [told for told in self._starts[up.node] if self._refers_to(told, up)]
 
-    # ------------------------------------------------------------ inside
+    # ------------------------------------------------------------ construction
 
-    def _is_of(self, told: Told, up: Up) -> bool:
-        before = [down.t for down in self.downs.get(up.node, ()) if down.life < up.life]
-        return told.since > max(before, default=0)
+    def _refers_to(self, told: Told, up: Up) -> bool:
+        earlier_ends = [down.t for down in self.downs.get(up.node, ()) if down.life < up.life]
+        return told.since > max(earlier_ends, default=0)
 
     def _started(self, proxy: str, t: int) -> int:
         lives = [f.t for f in self.proxies.get(proxy, ()) if isinstance(f, ProxyUp) and f.t <= t]
         return lives[-1] if lives else -NEVER
 
-    def _take(self, fact: Record) -> None:
+    def _add(self, fact: Record) -> None:
         if isinstance(fact, Told):
-            self._hear(fact)
+            self._add_told(fact)
         elif isinstance(fact, Up):
             self.ups.append(fact)
         elif isinstance(fact, Down):
             self.downs[fact.node].append(fact)
         elif isinstance(fact, ProxyUp | ProxyDown):
-            self._proxy(fact)
+            self._add_proxy_event(fact)
         elif isinstance(fact, FaultBegan | FaultEnded):
-            self._fault(fact)
+            self._add_fault_event(fact)
         elif isinstance(fact, Lagged):
-            for near in range((fact.t - fact.by_us) // NEAR_US - 1, fact.t // NEAR_US + 2):
-                self._late[near] = max(fact.by_us, self._late.get(near, 0))
-
-    def _hear(self, told: Told) -> None:
-        for spans, name in ((self._told, f"{told.proxy} {told.node}"), (self._anyone, told.node)):
+            for bucket in range((fact.t - fact.by_us) // NEAR_US - 1, fact.t // NEAR_US + 2):
+                self._max_lag[bucket] = max(fact.by_us, self._max_lag.get(bucket, 0))
+
+    def _add_told(self, told: Told) -> None:
+        for spans, name in (
+            (self._told_spans, f"{told.proxy} {told.node}"),
+            (self._first_told_spans, told.node),
+        ):
             if told.phase == "SERVING":
                 spans.close(name, told.t)
             else:
@@ -167,14 +171,16 @@
         if told.phase == "SERVING" and told.since:
             self._starts[told.node].append(told)
 
-    def _proxy(self, fact: ProxyUp | ProxyDown) -> None:
+    def _add_proxy_event(self, fact: ProxyUp | ProxyDown) -> None:
         self.proxies[fact.proxy].append(fact)
         if isinstance(fact, ProxyDown) and fact.why != "planned":
-            self._told.close_all(f"{fact.proxy} ", fact.t)  # the next process has been told nothing yet
+            self._told_spans.close_all(
+                f"{fact.proxy} ", fact.t
+            )  # the next process has not been told anything yet
 
-    def _fault(self, fact: FaultBegan | FaultEnded) -> None:
-        for target in fact.targets if fact.kind in DEAF else ():
-            spans = self._deaf[target]
+    def _add_fault_event(self, fact: FaultBegan | FaultEnded) -> None:
+        for target in fact.targets if fact.kind in UNRESPONSIVE_FAULTS else ():
+            spans = self._unresponsive[target]
             if isinstance(fact, FaultBegan):
                 spans.append(Span(fact.t, NEVER, fact))
             for i, span in enumerate(spans):
@@ -183,31 +189,31 @@
                     spans[i] = span._replace(end=min(span.end, fact.t))
 
 
-class _Spans:
-    """By name: the times in which something held. The last may still be open."""
+class _SpanTable:
+    """Time spans by name, in order of time. The last one of a name may still be open."""
 
     def __init__(self) -> None:
-        self._of: dict[str, list[Span]] = {}
+        self._spans_by_name: dict[str, list[Span]] = {}
 
-    def knows(self, name: str) -> bool:
-        return name in self._of
+    def has_spans(self, name: str) -> bool:
+        return name in self._spans_by_name
 
     def open(self, name: str, fact: Record) -> None:
-        spans = self._of.setdefault(name, [])
+        spans = self._spans_by_name.setdefault(name, [])
         if not spans or spans[-1].end != NEVER:
             spans.append(Span(fact.t, NEVER, fact))
 
     def close(self, name: str, t: int) -> None:
-        spans = self._of.get(name)
+        spans = self._spans_by_name.get(name)
         if spans and spans[-1].end == NEVER:
             spans[-1] = spans[-1]._replace(end=t)
 
     def close_all(self, prefix: str, t: int) -> None:
-        for name in self._of:
+        for name in self._spans_by_name:
             if name.startswith(prefix):
                 self.close(name, t)
 
     def at(self, name: str, t: int) -> Span | None:
-        spans = self._of.get(name, ())
+        spans = self._spans_by_name.get(name, ())
         i = bisect_right(spans, t, key=lambda span: span.start) - 1
         return spans[i] if i >= 0 and t < spans[i].end else None
