--- a/slatelab/figures/__init__.py
+++ b/slatelab/figures/__init__.py
@@ -1,5 +1,5 @@
-"""The figures of a run, from its records alone: what was asked for, what was answered in time, how long it
-took, what the nodes were given. They must never judge, and never import an engine, slatehub or paddlestep."""
+"""The figures of a run, computed from its records alone: offered orders, goodput, latency and the load of the nodes.
+The package applies no rules and does not import an engine, slatehub or paddlestep."""
 
 from .measure import measure
 from .types import Figures, Group, Latency, NodeLoad, Return, Series, Window, Worst
--- a/slatelab/figures/facts.py
+++ b/slatelab/figures/facts.py
@@ -1,5 +1,4 @@
-"""A run's facts by their kind, each kind in order of time. This file owns the sorting. It must never judge
-what a fact means."""
+"""Groups the facts of a run by type, each type in order of time."""
 
 from __future__ import annotations
 
@@ -23,8 +22,7 @@
 
 @dataclass(slots=True)
 class Facts:
-    """Only the kinds that figures are made of. `last` is the time of the last fact of any kind, 0 without
-    one."""
+    """The types of facts that the figures need. `last` is the time of the last fact of any type, 0 if there is none."""
 
     asked: list[Asked] = field(default_factory=list)
     answered: list[Answered] = field(default_factory=list)
@@ -40,20 +38,21 @@
 
     @property
     def ends(self) -> list[Answered | BrokenOff | GaveUp]:
-        """Of requests, for their callers, in order of time."""
+        """The ends of requests as seen by their callers, in order of time."""
         return sorted([*self.answered, *self.broken, *self.gave_up], key=lambda fact: fact.t)
 
 
 def facts(records: Iterable[Record]) -> Facts:
-    found = Facts()
-    rows = {
-        Asked: found.asked, Answered: found.answered, BrokenOff: found.broken, GaveUp: found.gave_up,
-        Came: found.came, Replied: found.replied, Up: found.ups, Down: found.downs,
-        FaultBegan: found.began, FaultEnded: found.ended,
+    """Groups the records of a run, given in any order."""
+    result = Facts()
+    targets = {
+        Asked: result.asked, Answered: result.answered, BrokenOff: result.broken, GaveUp: result.gave_up,
+        Came: result.came, Replied: result.replied, Up: result.ups, Down: result.downs,
+        FaultBegan: result.began, FaultEnded: result.ended,
     }  # fmt: skip
     for fact in sorted(records, key=lambda fact: fact.t):
-        row = rows.get(type(fact))
-        if row is not None:
-            row.append(fact)  # type: ignore[attr-defined]
-        found.last = fact.t
-    return found
+        target = targets.get(type(fact))
+        if target is not None:
+            target.append(fact)  # type: ignore[attr-defined]
+        result.last = fact.t
+    return result
--- a/slatelab/figures/load.py
+++ b/slatelab/figures/load.py
@@ -1,5 +1,5 @@
-"""What the nodes were given: attempts and work by node and time, how many attempts a request took, how much
-work was in vain. It must never look at what an order was worth."""
+"""The load of the nodes: attempts and work by node and time, the number of attempts per request, and the share of
+wasted work. The worth of orders is not considered."""
 
 from __future__ import annotations
 
@@ -12,31 +12,30 @@
 from .facts import Facts
 from .types import NodeLoad
 
-CELLS = 1_000_000  # nodes times steps, at most
+MAX_VALUES = 1_000_000  # limit of nodes times steps
 
 
 def step(nodes: int, seconds: int) -> int:
-    """The seconds that one number of a node's load stands for: 1, or as many as keep a run of any size within
-    CELLS."""
-    return max(1, -(-nodes * seconds // CELLS))
+    """The length of a load step in seconds: 1, or as many as needed to keep a run of any size within MAX_VALUES."""
+    return max(1, -(-nodes * seconds // MAX_VALUES))
 
 
 def loads(facts: Facts, seconds: int) -> tuple[int, list[NodeLoad]]:
-    """The step in seconds, and the load of each node that started or was sent anything, by tier and name."""
+    """The step in seconds, and the load of each node that started or got an attempt, sorted by tier and name."""
     tiers = {fact.node: fact.request.count("/") // 2 for fact in facts.came}
     tiers |= {fact.node: fact.tier for fact in facts.ups}
-    wide = step(len(tiers), seconds)
-    count = -(-seconds // wide)
+    step_s = step(len(tiers), seconds)
+    count = -(-seconds // step_s)
     tables = {node: ([0] * count, [0] * count, [0] * (count + 1)) for node in tiers}
     for fact, end in zip(facts.came, _ends(facts), strict=True):
         work, requests, held = tables[fact.node]
-        at = fact.t // 1_000_000 // wide
-        work[at] += fact.work_us
-        requests[at] += 1
-        held[at] += 1
-        held[min(count, end // 1_000_000 // wide)] -= 1
+        index = fact.t // 1_000_000 // step_s
+        work[index] += fact.work_us
+        requests[index] += 1
+        held[index] += 1
+        held[min(count, end // 1_000_000 // step_s)] -= 1
     nodes = sorted(tables, key=lambda node: (tiers[node], len(node), node))
-    return wide, [_load(node, tiers[node], *tables[node]) for node in nodes]
+    return step_s, [_load(node, tiers[node], *tables[node]) for node in nodes]
 
 
 def _load(node: str, tier: int, work: list[int], requests: list[int], held: list[int]) -> NodeLoad:
@@ -44,9 +43,8 @@
 
 
 def _ends(facts: Facts) -> list[int]:
-    """When each attempt ended: when its node answered it or went down, or its request was over for its
-    caller."""
-    over = {fact.request: fact.t for fact in reversed(facts.ends)}
+    """When each attempt ended: when its node answered or went down, or when the request ended for its caller."""
+    ended_for_caller = {fact.request: fact.t for fact in reversed(facts.ends)}
     replied: dict[tuple[str, int, str], list[int]] = defaultdict(list)
     for answer in reversed(facts.replied):
         replied[answer.node, answer.life, answer.request].append(answer.t)
@@ -56,7 +54,7 @@
     for fact in facts.came:
         answers = replied.get((fact.node, fact.life, fact.request))
         first = answers.pop() if answers else never
-        end = min(first, downs.get((fact.node, fact.life), never), over.get(fact.request, never))
+        end = min(first, downs.get((fact.node, fact.life), never), ended_for_caller.get(fact.request, never))
         ends.append(max(fact.t, end))
     return ends
 
@@ -68,25 +66,25 @@
 
 
 def histogram(numbers: Iterable[int]) -> list[int]:
-    """How often 0, 1, 2 ... stands among the numbers."""
+    """How often 0, 1, 2 ... occurs among the numbers."""
     count = Counter(numbers)
     return [count[n] for n in range(max(count, default=-1) + 1)]
 
 
 def wasted(facts: Facts, orders: set[str]) -> float | None:
-    """Of the work that came for these orders, in all tiers: the share of attempts that did not make the
-    answer 200 which the request's caller, a client or a node, was given."""
-    given = {fact.request: fact.token for fact in reversed(facts.answered) if fact.status == 200}
+    """The share of wasted work among the work that arrived for these orders in all tiers: that of attempts which did
+    not produce the answer 200 received by the request's caller (a client or a node). None if there was no work."""
+    accepted_tokens = {fact.request: fact.token for fact in reversed(facts.answered) if fact.status == 200}
     makers = {
         (fact.request, fact.node, fact.life)
         for fact in facts.replied
-        if fact.status == 200 and given.get(fact.request) == fact.token
+        if fact.status == 200 and accepted_tokens.get(fact.request) == fact.token
     }
-    whole = useful = 0
+    total = useful = 0
     for came in facts.came:
         if order_id(came.request) in orders:
-            whole += came.work_us
+            total += came.work_us
             maker = (came.request, came.node, came.life)
             useful += came.work_us if maker in makers else 0
             makers.discard(maker)
-    return 1 - useful / whole if whole else None
+    return 1 - useful / total if total else None
--- a/slatelab/figures/orders.py
+++ b/slatelab/figures/orders.py
@@ -1,9 +1,9 @@
-"""Orders as their tries tell of them: how each ended, when, and what it was worth. This file owns the way
-from tries to an order, and the allowance of tenants. It must never look at a node.
+"""Derives orders from the facts about their attempts: how and when each order ended and what it was worth. Facts of
+nodes are not used.
 
-Worth: an order beyond its tenant's allowance is worth `proxy.over_share_worth` of its class. The allowance is
-a token bucket (as in RFC 2697, one rate): it holds one second's worth, at least 1, is full at first, and each
-order takes 1 at the time its first try was due."""
+Worth: an order beyond its tenant's allowance has the share `proxy.over_share_worth` of the worth of its class. The
+allowance is a token bucket (as in RFC 2697, one rate): it holds the tokens of one second, at least 1, starts full, and
+each order takes 1 at the time its first attempt was due."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 
 @dataclass(slots=True)
 class Order:
-    """`cls` and `tenant` are "" where no try was ever taken. `end` is "served", "refused" or "failed"."""
+    """One order. Times are in microseconds; `cls` and `tenant` are "" if no attempt was ever accepted; `end` is
+    "served", "refused" or "failed"; `over`: beyond the tenant's allowance."""
 
     name: str
     due: int
@@ -46,64 +47,66 @@
 
 
 def orders(scenario: Scenario, facts: Facts) -> list[Order]:
-    """All orders by the time at which they were due. Where no first try was taken, an order counts as due
-    when it was first heard of."""
-    found = _tried(facts)
-    _ended(found, facts)
-    _rate(scenario, found.values())
-    inorder = sorted(found.values(), key=lambda order: (order.due, order.name))
-    _share(scenario, inorder)
-    return inorder
-
-
-def _tried(facts: Facts) -> dict[str, Order]:
-    found: dict[str, Order] = {}
+    """All orders sorted by the time at which they were due. An order whose first attempt was not accepted counts as due
+    at the first fact about it."""
+    by_name = _collect_attempts(facts)
+    _set_outcomes(by_name, facts)
+    _set_worth(scenario, by_name.values())
+    sorted_orders = sorted(by_name.values(), key=lambda order: (order.due, order.name))
+    _apply_allowances(scenario, sorted_orders)
+    return sorted_orders
+
+
+def _collect_attempts(facts: Facts) -> dict[str, Order]:
+    by_name: dict[str, Order] = {}
     seen: set[str] = set()
-    heard: list[Asked | BrokenOff | GaveUp] = [*facts.asked, *facts.broken, *facts.gave_up]
-    for fact in sorted(heard, key=lambda fact: fact.t):
+    observed: list[Asked | BrokenOff | GaveUp] = [*facts.asked, *facts.broken, *facts.gave_up]
+    for fact in sorted(observed, key=lambda fact: fact.t):
         if "/" in fact.request:
             continue
         name = order_id(fact.request)
         due = fact.intended if isinstance(fact, Asked) else fact.t
-        order = found.get(name) or found.setdefault(name, Order(name, due))
+        order = by_name.get(name) or by_name.setdefault(name, Order(name, due))
         if isinstance(fact, Asked):
             order.due, order.cls, order.tenant = min(order.due, due), fact.cls, fact.tenant
         if fact.request not in seen:
             seen.add(fact.request)
             order.tries += 1
-    return found
+    return by_name
 
 
-def _ended(found: dict[str, Order], facts: Facts) -> None:
-    """The first answer 200 counts; without one, the last end of a try."""
+def _set_outcomes(by_name: dict[str, Order], facts: Facts) -> None:
+    """Sets how each order ended: by its first answer 200, or else by the last end of an attempt."""
     for fact in facts.ends:
-        order = found.get(order_id(fact.request)) if "/" not in fact.request else None
+        order = by_name.get(order_id(fact.request)) if "/" not in fact.request else None
         if order and order.end != "served":
-            order.end = _end(fact)
+            order.end = _outcome(fact)
             order.answered = fact.t
 
 
-def _end(fact: Answered | BrokenOff | GaveUp) -> str:
+def _outcome(fact: Answered | BrokenOff | GaveUp) -> str:
     if not isinstance(fact, Answered):
         return "failed"
     return "served" if fact.status == 200 else "refused" if fact.status in REFUSALS else "failed"
 
 
-def _rate(scenario: Scenario, found: Iterable[Order]) -> None:
+def _set_worth(scenario: Scenario, by_name: Iterable[Order]) -> None:
     classes = {cls.name: cls for cls in scenario.classes}
     mean = sum(c.worth * c.share for c in scenario.classes) / sum(c.share for c in scenario.classes)
-    for order in found:
+    for order in by_name:
         order.latency = order.answered - order.due
         order.worth = mean
         if order.cls:
             order.aim, order.worth = classes[order.cls].aim, classes[order.cls].worth
 
 
-def _share(scenario: Scenario, inorder: list[Order]) -> None:
+def _apply_allowances(scenario: Scenario, sorted_orders: list[Order]) -> None:
     rates = {tenant.name: tenant.allowance for tenant in scenario.tenants if tenant.allowance > 0}
     full = {name: max(1.0, rate) for name, rate in rates.items()}
-    buckets = {name: (0, depth) for name, depth in full.items()}  # when looked at last, tokens then
-    for order in inorder:
+    buckets = {
+        name: (0, depth) for name, depth in full.items()
+    }  # time of the last update, tokens at that time
+    for order in sorted_orders:
         if order.tenant in buckets:
             then, tokens = buckets[order.tenant]
             grown = max(0, order.due - then) / 1e6 * rates[order.tenant]
@@ -113,25 +116,25 @@
             order.worth *= scenario.proxy.over_share_worth if order.over else 1
 
 
-def goodput(some: Iterable[Order]) -> float | None:
-    """Worth answered in time over worth asked for; None where nothing was."""
-    asked = won = 0.0
-    for order in some:
+def goodput(group: Iterable[Order]) -> float | None:
+    """Worth answered in time divided by the worth requested; None if there was none."""
+    asked = earned = 0.0
+    for order in group:
         asked += order.worth
-        won += order.worth if order.in_time else 0.0
-    return won / asked if asked else None
+        earned += order.worth if order.in_time else 0.0
+    return earned / asked if asked else None
 
 
 class Curve:
-    """Goodput between any two times, over orders by the time they were due."""
+    """Goodput between any two times, for orders sorted by the time they were due."""
 
-    def __init__(self, inorder: list[Order]) -> None:
-        self._due = [order.due for order in inorder]
-        self._asked = [0.0, *accumulate(order.worth for order in inorder)]
-        self._won = [0.0, *accumulate(order.worth if order.in_time else 0.0 for order in inorder)]
+    def __init__(self, sorted_orders: list[Order]) -> None:
+        self._due = [order.due for order in sorted_orders]
+        self._asked = [0.0, *accumulate(order.worth for order in sorted_orders)]
+        self._earned = [0.0, *accumulate(order.worth if order.in_time else 0.0 for order in sorted_orders)]
 
     def goodput(self, start: int, end: int) -> float | None:
-        """Of what was due from `start` and before `end`; None where nothing was."""
+        """Goodput of the orders due from `start` (included) until `end` (excluded); None if there are none."""
         a, b = bisect_left(self._due, start), bisect_left(self._due, end)
         asked = self._asked[b] - self._asked[a]
-        return (self._won[b] - self._won[a]) / asked if a < b and asked > 0 else None
+        return (self._earned[b] - self._earned[a]) / asked if a < b and asked > 0 else None
--- a/slatelab/figures/types.py
+++ b/slatelab/figures/types.py
@@ -1,5 +1,5 @@
-"""The form of the figures. Every one of them encodes to JSON as it stands; shares and goodput are between 0
-and 1, and None where nothing was there to measure. This file must never calculate."""
+"""The types of the figures. All of them can be encoded to JSON; shares and goodput are between 0 and 1, and None if
+there was nothing to measure."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 class Latency(msgspec.Struct, frozen=True):
-    """Of served orders, from the intended time of the first try to the last byte of the answer, in
-    milliseconds, to three significant digits. `hdr` is the whole HdrHistogram (1 µs to 120 s; longer counts
+    """Latency of served orders from the intended time of the first attempt to the last byte of the answer, in
+    milliseconds with three significant digits. `hdr` is the complete HdrHistogram (1 µs to 120 s; longer values count
     as 120 s) in its V2 compressed base64 form, values in microseconds."""
 
     count: int = 0
@@ -22,9 +22,8 @@
 
 
 class Group(msgspec.Struct, frozen=True):
-    """A class's or a tenant's orders after the warm-up. `over` is how many were beyond the tenant's
-    allowance: those count in a class's goodput with the worth they have left, and not at all in a
-    tenant's."""
+    """The orders of a class or a tenant after the warm-up. `over` is how many were beyond the tenant's allowance: those
+    count in a class's goodput with their reduced worth, and not at all in a tenant's."""
 
     name: str
     requests: int
@@ -38,12 +37,14 @@
 
 
 class Worst(msgspec.Struct, frozen=True):
+    """The class or tenant with the lowest goodput."""
+
     name: str
     goodput: float
 
 
 class Window(msgspec.Struct, frozen=True):
-    """`seconds` from `start`, both in whole seconds of the run."""
+    """`seconds` seconds from `start`, both in whole seconds of the run."""
 
     start: int
     seconds: int
@@ -51,8 +52,8 @@
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One number a second, the warm-up included. Orders count in the second in which their first try was due,
-    whenever they were answered; attempts at the first tier's nodes in the second in which they came."""
+    """One value per second, including the warm-up. Orders count in the second in which their first attempt was due,
+    whenever they were answered; attempts at nodes of the first tier count in the second in which they arrived."""
 
     offered: list[int]
     in_time: list[int]
@@ -60,14 +61,14 @@
     refused: list[int]
     failed: list[int]
     attempts: list[int]
-    worth: list[float]  # asked for
+    worth: list[float]  # requested
     goodput: list[float | None]
 
 
 class NodeLoad(msgspec.Struct, frozen=True):
-    """One number every `Figures.load_step` seconds: work that came (microseconds at speed 1), attempts that
-    came, and attempts held at the end of the step. An attempt counts as held until the node answered or
-    ended, or the request was over for its caller; a node may go on with work nobody waits for."""
+    """One value per step of `Figures.load_step` seconds: work that arrived (microseconds at speed 1), attempts that
+    arrived, and attempts held at the end of the step. An attempt counts as held until the node answered or ended, or
+    the request ended for its caller; a node may continue work whose caller has left."""
 
     node: str
     tier: int
@@ -77,8 +78,8 @@
 
 
 class Return(msgspec.Struct, frozen=True):
-    """How many seconds after a fault's end the goodput of one second was first at 95 % of its mean before the
-    first fault; None: not before the arrivals ended."""
+    """Recovery from a fault: after how many seconds the goodput of one second first reached 95 % of the mean before the
+    first fault; None if it did not before the arrivals ended."""
 
     fault: str
     kind: str
@@ -87,33 +88,33 @@
 
 
 class Figures(msgspec.Struct, frozen=True, kw_only=True):
-    """`requests` are orders, each with all its tries. `served` = `in_time` + `late`. All but `series`,
-    `nodes` and `returns` leave out what was due before the warm-up's end."""
+    """All figures of a run. `requests` counts orders, each with all its attempts. `served` = `in_time` + `late`. All
+    figures except `series`, `nodes` and `returns` leave out orders due before the end of the warm-up."""
 
-    goodput: float | None  # worth answered within the class's aim over worth asked for
-    worth: float  # asked for
+    goodput: float | None  # worth answered within the class's aim, divided by the worth requested
+    worth: float  # requested
     requests: int
     served: int
     in_time: int
     late: int
     refused: int
     failed: int
-    unheard: (
-        int  # of the failed: no try was ever taken, so class and tenant are unknown; the mean worth counts
-    )
+    unheard: int  # of `failed`: no attempt was accepted, so class and tenant are unknown; counted with the mean worth
     over_share: int
-    attempts: float | None  # at nodes of the first tier, an order
-    tries: float | None  # an order
-    attempts_histogram: list[int]  # index: attempts at the first tier for one try; value: how many tries
-    tries_histogram: list[int]  # index: tries; value: how many orders
-    wasted: float | None  # of the work that came to nodes, the share whose caller got no answer 200 from it
+    attempts: float | None  # at nodes of the first tier, per order
+    tries: float | None  # attempts of the client per order
+    attempts_histogram: list[
+        int
+    ]  # index: attempts at nodes of the first tier per try; value: number of tries
+    tries_histogram: list[int]  # index: tries; value: number of orders
+    wasted: float | None  # share of the work at nodes that did not lead to an answer 200 for its caller
     latency: Latency
     classes: list[Group]
     tenants: list[Group]
     worst_class: Worst | None
     worst_tenant: Worst | None
-    worst_window: Window | None  # of 10 s, or of all there is where that is shorter
+    worst_window: Window | None  # of 10 s, or of the whole time if that is shorter
     returns: list[Return]
     series: Series
-    load_step: int  # seconds; 1 but in very large runs
+    load_step: int  # seconds; 1 except in very large runs
     nodes: list[NodeLoad]
