--- a/slatelab/__init__.py
+++ b/slatelab/__init__.py
@@ -1,2 +1,2 @@
-"""slatelab: the project's own model of the plant, its load tool and its judge. It may import slatehub and paddlestep;
-neither of them may ever import it. Nothing here may touch an address outside 127.0.0.0/8."""
+"""slatelab: model of the plant, load generator and judge of the project. It may import slatehub and paddlestep; neither
+of them may import it. It uses only network addresses in 127.0.0.0/8."""
--- a/slatelab/__main__.py
+++ b/slatelab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m slatelab`. It owns nothing."""
+"""Entry point of `python -m slatelab`."""
 
 from slatelab.cli import main
 
--- a/slatelab/engine.py
+++ b/slatelab/engine.py
@@ -1,5 +1,5 @@
-"""What the two engines share: the form in which a run is handed on, and how a run that must not be trusted says so. It
-owns no engine, and must never judge."""
+"""Types shared by the two engines: the recording of a run, progress snapshots, and the error for a run whose result is
+invalid."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class InvalidRunError(Exception):
-    """The run cannot be taken for a result (exit 3): the load ran late, one of the lab's own processes died, nothing
-    could be started. The text is one line and says why."""
+    """The run is not a valid result (exit 3): the load generator was late, a process of the lab died, or nothing could
+    be started. The text is one line with the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProgressSnapshot:
-    """A look at a run under way, about ten a second of its time: for progress bars and the live table."""
+    """State of a running run, about ten times per second of its time: for progress bars and the live table."""
 
     t: int  # microseconds since the run's epoch
-    last_arrival_at: int  # when the last arrival is due
+    last_arrival_at: int  # time at which the last arrival is due
     asked: int = 0  # orders so far
     served: int = 0
     refused: int = 0
     failed: int = 0
-    latencies_us: tuple[int, ...] = ()  # of what has been served since the last tick
-    # id, state ("warm", "cold", "draining", "down", or the fault on it), requests held
+    latencies_us: tuple[int, ...] = ()  # of orders served since the last snapshot
+    # id, state ("warm", "cold", "draining", "down", or its active fault), requests held
     nodes: tuple[tuple[str, str, int], ...] = ()
 
 
@@ -34,11 +34,11 @@
 
 @dataclass(slots=True)
 class Recording:
-    """A whole run. `records` are in the order of their time."""
+    """The recording of a whole run. `records` are sorted by time."""
 
     engine: str
     seed: int
     records: list[Record]
-    events: int = 0  # simulated events, or requests handled: for the speed of the engine
-    late_p99_us: int = 0  # by how much the load generator ran late (live)
-    notes: list[str] = field(default_factory=list)  # lines for the reader of the result
+    events: int = 0  # simulated events, or requests handled: to compute the speed of the engine
+    late_p99_us: int = 0  # 99th percentile of the load generator's delay (live)
+    notes: list[str] = field(default_factory=list)  # remarks for readers of the result
--- a/slatelab/results.py
+++ b/slatelab/results.py
@@ -1,6 +1,6 @@
-"""The results of runs on disk: one folder each, and never half of one. It owns the form of `result.json`, the
-names of the folders and the one way in which they come to be: written in full under a hidden name, flushed to
-the disk, renamed. It must never run, judge or draw anything, and keeps no host name and no path."""
+"""The results of runs on disk: one folder per run, which is always complete. Defines the format of `result.json` and
+the names of the folders, and writes them atomically: the files are written under a hidden name and flushed to disk,
+then the folder is renamed. Results contain no host name and no path."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from .records import Record
 
 FORMAT = 1
-RECORDS_LIMIT = 200_000_000  # bytes before packing; more is not kept
-JSON_LIMIT = 64_000_000
-HIDDEN = ".partial-"
+MAX_RECORDS_BYTES = 200_000_000  # uncompressed; larger records are not kept
+MAX_JSON_BYTES = 64_000_000
+HIDDEN_PREFIX = ".partial-"
 
 
 class ResultWriteError(Exception):
-    """The place for results is full, read-only or no folder. One line."""
+    """The folder for results is full, read-only or not a folder. One line."""
 
 
 class ResultReadError(Exception):
-    """This is no whole result of a format known here. One line."""
+    """The folder is not a complete result of a known format. One line."""
 
 
 class Versions(msgspec.Struct, frozen=True):
     python: str
     slatelab: str
-    revision: str  # of the lab's own tree; "" where there is no repository
-    dirty: bool  # that tree had changes not committed
+    revision: str  # of the lab's own tree; "" if there is no repository
+    dirty: bool  # the tree had uncommitted changes
 
 
 class Machine(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class Complaint(msgspec.Struct, frozen=True):
-    """A broken rule, as the judge words it; `history` is cut where it is very long."""
+    """A broken rule in the judge's words; a very long `history` is truncated."""
 
     rule: str
     request: str
@@ -63,7 +63,7 @@
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """A fault as it was carried out; `end` is None where it lasted to the end."""
+    """A fault as it was carried out; `end` is None if it lasted until the end of the run."""
 
     name: str
     kind: str
@@ -83,18 +83,19 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """All that is kept of a run but its records. Times in µs since the run's epoch, `wall_s` in seconds."""
+    """Everything that is kept of a run except its records. Times are in µs since the run's epoch, `wall_s` is in
+    seconds."""
 
     format: int = FORMAT
-    made: str  # UTC
+    made: str  # creation time, UTC
     versions: Versions
     machine: Machine
     tested: str  # which slatehub: "work", a revision, or "folder"
     scenario: str
     scenario_text: str
     scenario_sha256: str
-    traces: dict[str, str]  # SHA-256 of each file of recorded arrivals that the scenario names
-    changes: dict[str, Any]  # by --set
+    traces: dict[str, str]  # SHA-256 of each trace file that the scenario names
+    changes: dict[str, Any]  # made with --set
     duration: int
     warmup: int
     engine: str
@@ -103,18 +104,18 @@
     events: int
     late_p99_us: int
     trace_sha256: str
-    aims: dict[str, int]  # of the classes, µs
-    capacity: dict[str, float]  # of the nodes: work done a µs once warm, µs
-    figures: dict[str, Any]  # as slatelab.figures has them
+    aims: dict[str, int]  # by class, µs
+    capacity: dict[str, float]  # by node: work in µs that it does per µs once warm
+    figures: dict[str, Any]  # encoded slatelab.figures.Figures
     ruling: Ruled
     troubles: list[Trouble]
     log: list[Line]
-    log_lines: int  # all there were; `log` holds the first of them
+    log_lines: int  # total number of lines; `log` has the first of them
     notes: list[str]
 
 
 def results_directory(given: str | None = None) -> Path:
-    """Where results go: `given`, else $SLATELAB_RESULTS, else results/ below the current folder."""
+    """The folder for results: `given`, else $SLATELAB_RESULTS, else results/ in the current folder."""
     return Path(given or os.environ.get("SLATELAB_RESULTS") or "results")
 
 
@@ -126,11 +127,11 @@
 
 
 class ResultFolderWriter:
-    """A folder under its hidden name. Files in it are on the disk once `add` has returned."""
+    """Writes a result folder under its hidden name. Files are flushed to disk when `add` returns."""
 
-    def __init__(self, place: Path) -> None:
-        self.temporary_path = place
-        self.final_path = place  # set once it has been renamed
+    def __init__(self, path: Path) -> None:
+        self.temporary_path = path
+        self.final_path = path  # changes once the folder has been renamed
 
     def add(self, name: str, data: bytes) -> None:
         with (self.temporary_path / name).open("wb") as file:
@@ -138,12 +139,12 @@
             file.flush()
             os.fsync(file.fileno())
 
-    def add_records(self, records: Iterable[Record], limit: int = RECORDS_LIMIT) -> str:
-        """Writes records.jsonl.gz. More than `limit` bytes are not kept: then a line that says so is
-        returned."""
+    def add_records(self, records: Iterable[Record], limit: int = MAX_RECORDS_BYTES) -> str:
+        """Writes records.jsonl.gz and returns "". Records of more than `limit` bytes are not kept; then the return
+        value is a note that says so."""
         path = self.temporary_path / "records.jsonl.gz"
         with path.open("wb") as file:
-            if _pack(file, records, limit):
+            if _write_compressed(file, records, limit):
                 file.flush()
                 os.fsync(file.fileno())
                 return ""
@@ -151,7 +152,7 @@
         return f"the records were not kept: more than {limit // 1_000_000} MB"
 
 
-def _pack(file: Any, records: Iterable[Record], limit: int) -> bool:
+def _write_compressed(file: Any, records: Iterable[Record], limit: int) -> bool:
     encoder, size = msgspec.json.Encoder(), 0
     with gzip.GzipFile(filename="", fileobj=file, mode="wb", compresslevel=4, mtime=0) as packed:
         for record in records:
@@ -165,42 +166,39 @@
 
 @contextmanager
 def new_result_folder(where: Path, name: str) -> Iterator[ResultFolderWriter]:
-    """A new folder `name` below `where`, there only once the block has ended well. Raises ResultWriteError on entry
-    where the place cannot be written to, and on the way out where the disk is full; whatever was raised,
-    nothing stays behind."""
-    with _plainly(where):
+    """Creates a folder `name` in `where`, which becomes visible only if the block succeeds. Raises ResultWriteError on
+    entry if `where` cannot be written to, and on exit if the disk is full; after any error nothing is left behind."""
+    with _report_write_errors(where):
         where.mkdir(parents=True, exist_ok=True)
-        place = where / f"{HIDDEN}{name}-{os.getpid()}-{time.monotonic_ns()}"
-        place.mkdir()
-    one = ResultFolderWriter(place)
+        path = where / f"{HIDDEN_PREFIX}{name}-{os.getpid()}-{time.monotonic_ns()}"
+        path.mkdir()
+    writer = ResultFolderWriter(path)
     try:
-        yield one
-        with _plainly(where):
-            _flush(place)
-            one.final_path = _rename(place, where / name)
-            _flush(where)
+        yield writer
+        with _report_write_errors(where):
+            _sync_folder(path)
+            writer.final_path = _move_to_free_name(path, where / name)
+            _sync_folder(where)
     finally:
-        shutil.rmtree(place, ignore_errors=True)
+        shutil.rmtree(path, ignore_errors=True)
 
 
 @contextmanager
 def convert_write_errors(where: Path) -> Iterator[None]:
-    """What fails with an OSError in the block is said as ResultWriteError."""
-    with _plainly(where):
+    """Converts an OSError in the block to ResultWriteError."""
+    with _report_write_errors(where):
         yield
 
 
 @contextmanager
-def _plainly(where: Path) -> Iterator[None]:
+def _report_write_errors(where: Path) -> Iterator[None]:
     try:
         yield
-    except OSError as problem:
-        raise ResultWriteError(
-            f"results cannot be written to {where}: {problem.strerror or problem}"
-        ) from None
+    except OSError as error:
+        raise ResultWriteError(f"results cannot be written to {where}: {error.strerror or error}") from None
 
 
-def _flush(folder: Path) -> None:
+def _sync_folder(folder: Path) -> None:
     handle = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -208,13 +206,13 @@
         os.close(handle)
 
 
-def _rename(place: Path, final: Path) -> Path:
-    """Two runs of one second may want the same name: the later one gets a number. A rename onto a folder that
-    holds something always fails, so neither can take the other's place."""
+def _move_to_free_name(path: Path, final: Path) -> Path:
+    """Renames the folder. Two runs in the same second may have the same name: the later one gets a number. Renaming
+    onto a non-empty folder always fails, so neither can overwrite the other."""
     for n in range(1, 10_000):
         target = final if n == 1 else final.with_name(f"{final.name}-{n}")
         try:
-            os.rename(place, target)
+            os.rename(path, target)
             return target
         except OSError:
             if not target.exists():
@@ -223,22 +221,22 @@
 
 
 def utc_timestamp() -> str:
-    """Now, UTC, in a form that sorts and stands in a file name."""
+    """The current UTC time in a sortable format that is valid in file names."""
     return time.strftime("%Y%m%dT%H%M%SZ", time.gmtime())
 
 
-def folder_name(made: str, scenario: str, engine: str, seed: int) -> str:
-    return f"{made}-{scenario}-{engine}-s{seed}"
+def folder_name(created: str, scenario: str, engine: str, seed: int) -> str:
+    return f"{created}-{scenario}-{engine}-s{seed}"
 
 
-def save(one: ResultFolderWriter, result: Result, records: Iterable[Record]) -> Result:
-    """Fills a draft: the records, then result.json. Returns the result as written. Raises ResultWriteError."""
-    with convert_write_errors(one.temporary_path.parent):
-        note = one.add_records(records)
+def save(writer: ResultFolderWriter, result: Result, records: Iterable[Record]) -> Result:
+    """Writes the records, then result.json and the scenario. Returns the result as written. Raises ResultWriteError."""
+    with convert_write_errors(writer.temporary_path.parent):
+        note = writer.add_records(records)
         if note:
             result = msgspec.structs.replace(result, notes=[*result.notes, note])
-        one.add("result.json", msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
-        one.add("scenario.toml", result.scenario_text.encode())
+        writer.add("result.json", msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
+        writer.add("scenario.toml", result.scenario_text.encode())
     return result
 
 
@@ -246,32 +244,32 @@
 
 
 def load(folder: Path) -> Result:
-    """Raises ResultReadError."""
-    data = _bytes(folder / "result.json")
+    """Reads the result of a folder. Raises ResultReadError."""
+    data = _read_bytes(folder / "result.json")
     try:
         written = msgspec.json.decode(data, type=dict[str, Any]).get("format")
         if written != FORMAT:
             raise ResultReadError(f"{folder}: is of format {written}, this version reads {FORMAT}")
         return msgspec.json.decode(data, type=Result)
-    except msgspec.MsgspecError as problem:
-        raise ResultReadError(f"{folder}: result.json: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise ResultReadError(f"{folder}: result.json: {error}") from None
 
 
-def _bytes(path: Path) -> bytes:
-    if path.parent.name.startswith(HIDDEN):
+def _read_bytes(path: Path) -> bytes:
+    if path.parent.name.startswith(HIDDEN_PREFIX):
         raise ResultReadError(f"{path.parent}: not whole: a run that did not end; it may be deleted")
     try:
         with path.open("rb") as file:
-            data = file.read(JSON_LIMIT + 1)
-    except OSError as problem:
-        raise ResultReadError(f"{path.parent}: not a result: {path.name}: {problem.strerror}") from None
-    if len(data) > JSON_LIMIT:
-        raise ResultReadError(f"{path}: larger than {JSON_LIMIT} bytes")
+            data = file.read(MAX_JSON_BYTES + 1)
+    except OSError as error:
+        raise ResultReadError(f"{path.parent}: not a result: {path.name}: {error.strerror}") from None
+    if len(data) > MAX_JSON_BYTES:
+        raise ResultReadError(f"{path}: larger than {MAX_JSON_BYTES} bytes")
     return data
 
 
 def records(folder: Path) -> Iterator[Record]:
-    """The records of a result, nothing where they were not kept. Raises ResultReadError on the way where they are
+    """The records of a result; empty if they were not kept. Raises ResultReadError during iteration if they are
     damaged."""
     path = folder / "records.jsonl.gz"
     if not path.exists():
@@ -281,24 +279,26 @@
         with gzip.open(path, "rb") as file:
             for line in file:
                 yield decoder.decode(line)
-    except (OSError, EOFError, msgspec.MsgspecError) as problem:
-        raise ResultReadError(f"{path}: {problem}") from None
+    except (OSError, EOFError, msgspec.MsgspecError) as error:
+        raise ResultReadError(f"{path}: {error}") from None
 
 
 def load_all(where: Path) -> tuple[list[tuple[Path, Result]], list[str]]:
-    """The whole results below a folder by name, and a line for each other folder that looked like one."""
-    good: list[tuple[Path, Result]] = []
+    """The complete results in a folder, sorted by name, and a line for each other folder that could not be read."""
+    results: list[tuple[Path, Result]] = []
     skipped: list[str] = []
     for folder in sorted(path for path in where.iterdir() if path.is_dir()) if where.is_dir() else []:
         if _is_table(folder):
             continue
         try:
-            good.append((folder, load(folder)))
-        except ResultReadError as problem:
-            skipped.append(f"skipped: {problem}")
-    return good, skipped
+            results.append((folder, load(folder)))
+        except ResultReadError as error:
+            skipped.append(f"skipped: {error}")
+    return results, skipped
 
 
 def _is_table(folder: Path) -> bool:
-    """Sweeps and comparisons lie beside the results."""
-    return bool(re.search(r"-(sweep|compare)(-\d+)?$", folder.name)) and not folder.name.startswith(HIDDEN)
+    """Whether the folder is the table of a sweep or a comparison, which are stored next to the results."""
+    return bool(re.search(r"-(sweep|compare)(-\d+)?$", folder.name)) and not folder.name.startswith(
+        HIDDEN_PREFIX
+    )
