--- a/slatelab/figures/orders.py
+++ b/slatelab/figures/orders.py
@@ -103,9 +103,8 @@
 def _apply_allowances(scenario: Scenario, sorted_orders: list[Order]) -> None:
     rates = {tenant.name: tenant.allowance for tenant in scenario.tenants if tenant.allowance > 0}
     full = {name: max(1.0, rate) for name, rate in rates.items()}
-    buckets = {
-        name: (0, depth) for name, depth in full.items()
-    }  # time of the last update, tokens at that time
+    # By tenant: time of the last update, tokens at that time.
+    buckets = {name: (0, depth) for name, depth in full.items()}
     for order in sorted_orders:
         if order.tenant in buckets:
             then, tokens = buckets[order.tenant]
--- a/slatelab/figures/types.py
+++ b/slatelab/figures/types.py
@@ -103,9 +103,8 @@
     over_share: int
     attempts: float | None  # at nodes of the first tier, per order
     tries: float | None  # attempts of the client per order
-    attempts_histogram: list[
-        int
-    ]  # index: attempts at nodes of the first tier per try; value: number of tries
+    # Index: attempts at nodes of the first tier for one try; value: number of tries.
+    attempts_histogram: list[int]
     tries_histogram: list[int]  # index: tries; value: number of orders
     wasted: float | None  # share of the work at nodes that did not lead to an answer 200 for its caller
     latency: Latency
--- a/slatelab/judge/cold.py
+++ b/slatelab/judge/cold.py
@@ -83,9 +83,8 @@
     def __init__(self, timeline: Timeline, start: Up) -> None:
         self.work = self.informed_work = 0
         self._timeline, self._start = timeline, start
-        self._arrivals: deque[tuple[Came, int]] = (
-            deque()
-        )  # with the work that counts as sent by an informed proxy
+        # With the work that counts as sent by an informed proxy.
+        self._arrivals: deque[tuple[Came, int]] = deque()
 
     def add(self, fact: Came) -> None:
         informed_work = fact.work_us if self._timeline.informed(fact.proxy, self._start, fact.first) else 0
--- a/slatelab/judge/requests.py
+++ b/slatelab/judge/requests.py
@@ -26,9 +26,8 @@
         self.rules, self.proxy, self.timeline = scenario.rules, scenario.proxy, timeline
         self._find_reply = find_reply
         longest = max(cls.deadline for cls in scenario.classes)
-        self._stop_time_us = (
-            min(MAX_STOP_GRACE_US, longest) + STOP_MARGIN_US
-        )  # SIGKILL is sent no earlier after SIGTERM
+        # SIGKILL is sent no earlier after SIGTERM.
+        self._stop_time_us = min(MAX_STOP_GRACE_US, longest) + STOP_MARGIN_US
         self._unsafe = {cls.name for cls in scenario.classes if cls.effect == "unsafe"}
         # A cancelled attempt must not count as a second copy: the node learns of the cancellation one or two one-way
         # delays later.
--- a/slatelab/judge/timeline.py
+++ b/slatelab/judge/timeline.py
@@ -18,17 +18,17 @@
 
 SKEW_US = 2_000
 NEAR_US = 100_000
-STOP_MARGIN_US = (
-    700_000  # later than this after a planned stop, a proxy must answer requests or not accept them
-)
+# A proxy must answer the requests that it accepts later than this after the start of a planned stop.
+STOP_MARGIN_US = 700_000
 MAX_STOP_GRACE_US = 3_000_000  # a longer longest deadline does not extend the time of a planned stop
 NEVER = 2**62
 REPLACEMENT_SUFFIX = re.compile(r"-r\d+$")
+# Faults during which a node or a proxy neither receives nor sends.
 UNRESPONSIVE_FAULTS = (
     "freeze",
     "black-hole",
     "proxy-freeze",
-)  # faults during which a node or a proxy neither receives nor sends
+)
 
 
 class Span(NamedTuple):
@@ -50,9 +50,8 @@
         self._rules = rules
         self._max_lag: dict[int, int] = {}
         self._starts: dict[str, list[Told]] = defaultdict(list)
-        self._unresponsive: dict[str, list[Span]] = defaultdict(
-            list
-        )  # by original node id or proxy; spans may overlap
+        # By original node id or proxy; spans may overlap.
+        self._unresponsive: dict[str, list[Span]] = defaultdict(list)
         self._told_spans = _SpanTable()  # by proxy and node: told that the node drains or is gone
         self._first_told_spans = _SpanTable()  # by node: the same, from the first proxy that was told
         for fact in facts:
@@ -174,9 +173,8 @@
     def _add_proxy_event(self, fact: ProxyUp | ProxyDown) -> None:
         self.proxies[fact.proxy].append(fact)
         if isinstance(fact, ProxyDown) and fact.why != "planned":
-            self._told_spans.close_all(
-                f"{fact.proxy} ", fact.t
-            )  # the next process has not been told anything yet
+            # The next process has not been told anything yet.
+            self._told_spans.close_all(f"{fact.proxy} ", fact.t)
 
     def _add_fault_event(self, fact: FaultBegan | FaultEnded) -> None:
         for target in fact.targets if fact.kind in UNRESPONSIVE_FAULTS else ():
--- a/slatelab/plant/capacity.py
+++ b/slatelab/plant/capacity.py
@@ -13,9 +13,8 @@
 from .random_streams import RandomStreams
 from .workload import SECOND, generate_arrivals, window
 
-_UNUSED_STREAMS = RandomStreams(
-    0
-)  # only traces are counted by generating arrivals, and they draw no random numbers
+# Only traces are counted by generating arrivals, and they draw no random numbers.
+_UNUSED_STREAMS = RandomStreams(0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/slatelab/plant/check.py
+++ b/slatelab/plant/check.py
@@ -18,9 +18,9 @@
     """One line, `key: reason`, for each error found; empty if there is none. `folder` contains the trace
     files."""
     try:
-        draw = RandomStreams(scenario.scenario.seed)
-        nodes = build_nodes(scenario, draw)
-        build_fault_schedule(scenario, draw, nodes, build_proxies(scenario, nodes))
+        random_streams = RandomStreams(scenario.scenario.seed)
+        nodes = build_nodes(scenario, random_streams)
+        build_fault_schedule(scenario, random_streams, nodes, build_proxies(scenario, nodes))
         overloaded = overload_errors(scenario, folder)
     except ScenarioError as error:
         return [line.removeprefix(f"{scenario.scenario.name}: ") for line in error.lines]
--- a/slatelab/plant/faults.py
+++ b/slatelab/plant/faults.py
@@ -21,7 +21,7 @@
     errors*         a share spec.part of the requests fails at once
     heavy-tail*     a share spec.part of the requests (of spec.cls, if given) costs spec.factor times the work
     strip-headers*  calls of the node to the next tier carry the class's whole deadline instead of the time
-                    left, and no retry marks
+                    left, and no marks
     discovery-down* no targets: discovery does not answer
     discovery-lies* discovery lists the targets, all of one tier, as gone; one FaultEvent for each tier
     proxy-kill      SIGKILL to the named proxies
@@ -72,12 +72,12 @@
 
 
 def build_fault_schedule(
-    scenario: Scenario, draw: RandomStreams, fleet: list[NodeSpec], proxies: list[ProxySpec]
+    scenario: Scenario, random_streams: RandomStreams, fleet: list[NodeSpec], proxies: list[ProxySpec]
 ) -> list[FaultEvent]:
     """All events sorted by time; events at the same time in the order of the schedule. Some may be later than
     the last arrival. Raises one ScenarioError that lists all targets that do not exist and each `after` that
     names a fault without an end."""
-    resolved = _Schedule(scenario, draw, fleet, proxies)
+    resolved = _Schedule(scenario, random_streams, fleet, proxies)
     for i in range(len(scenario.faults)):
         resolved.add(i)
     if resolved.errors:
@@ -95,9 +95,13 @@
     """Resolves the entries in their order; `ends` has, by name, the time at which an entry ends (None: never)."""
 
     def __init__(
-        self, scenario: Scenario, draw: RandomStreams, fleet: list[NodeSpec], proxies: list[ProxySpec]
+        self,
+        scenario: Scenario,
+        random_streams: RandomStreams,
+        fleet: list[NodeSpec],
+        proxies: list[ProxySpec],
     ) -> None:
-        self.scenario, self.random_streams = scenario, draw
+        self.scenario, self.random_streams = scenario, random_streams
         self.tiers = {tier.name: t for t, tier in enumerate(scenario.tiers)}
         self.nodes = [[node.id for node in fleet if node.tier == t] for t in range(len(scenario.tiers))]
         self.proxies = [
--- a/slatelab/plant/fleet.py
+++ b/slatelab/plant/fleet.py
@@ -45,7 +45,7 @@
     address: str
 
 
-def build_nodes(scenario: Scenario, draw: RandomStreams) -> list[NodeSpec]:
+def build_nodes(scenario: Scenario, random_streams: RandomStreams) -> list[NodeSpec]:
     """All nodes, tier by tier, numbered from 1 in each. Raises ScenarioError if there are more than
     MAX_HOSTS."""
     if (count := sum(kind.nodes for tier in scenario.tiers for kind in tier.kind)) > MAX_HOSTS:
@@ -55,7 +55,9 @@
         kinds = [kind for kind in tier.kind for _ in range(kind.nodes)]
         for n, kind in enumerate(kinds, 1):
             name = f"s-{tier.name}-{n}"
-            nodes.append(NodeSpec(name, t, kind, _speed(kind, draw, name), _address(NODE_NET, len(nodes))))
+            nodes.append(
+                NodeSpec(name, t, kind, _speed(kind, random_streams, name), _address(NODE_NET, len(nodes)))
+            )
     return nodes
 
 
@@ -94,8 +96,12 @@
     return replace(old, id=f"{old.original_id}-r{life}")
 
 
-def _speed(kind: Kind, draw: RandomStreams, name: str) -> float:
-    return draw.stream("speed", name).uniform(*kind.speed) if isinstance(kind.speed, tuple) else kind.speed
+def _speed(kind: Kind, random_streams: RandomStreams, name: str) -> float:
+    return (
+        random_streams.stream("speed", name).uniform(*kind.speed)
+        if isinstance(kind.speed, tuple)
+        else kind.speed
+    )
 
 
 def _address(block: int, n: int) -> str:
--- a/slatelab/plant/node.py
+++ b/slatelab/plant/node.py
@@ -33,14 +33,12 @@
     "WorkStarted",
 ]
 
-TIME_EPSILON_US = (
-    1e-3  # shorter spans count as 0: otherwise a rounding error in a sum would delay an event by 1 µs
-)
+# Shorter spans count as 0: otherwise a rounding error in a sum would delay an event by 1 µs.
+TIME_EPSILON_US = 1e-3
 ERROR_WORK_SHARE = 0.01  # the share of its work that an injected failure costs
 MIN_THRASHING_CAPACITY = 0.05  # the least share of its capacity that a thrashing node keeps
-LIFE_ID_STRIDE = (
-    1_000_000_000  # more than the attempts of one life, so that ids of calls differ between lives
-)
+# More than the attempts of one life, so that ids of calls differ between lives.
+LIFE_ID_STRIDE = 1_000_000_000
 
 
 class _Attempt:
@@ -95,9 +93,8 @@
         self._dead = self._draining = self._strips_deadline = False
         self._connections = self._in_work = self._serial = 0
         self.pending_requests = 0  # in slots and in the waiting queue
-        self.last_work = (
-            0  # work of the last attempt that arrived, in microseconds at speed 1, with its heavy tail
-        )
+        # Work of the last attempt that arrived, in microseconds at speed 1, with its heavy tail.
+        self.last_work = 0
 
     def _build_pace(self, ramp: WarmupRamp) -> None:
         kind, speed, rules = self._spec.kind, self._spec.speed, self._scenario.rules
--- a/slatelab/plant/node_cold.py
+++ b/slatelab/plant/node_cold.py
@@ -65,9 +65,8 @@
         self.ramp, self.window = ramp, window
         self.budget_rate = multiple * capacity
         self._window_work: deque[tuple[int, int]] = deque()  # (time, work)
-        self._heaviest: deque[tuple[int, int]] = (
-            deque()
-        )  # (time, work): the heaviest, the heaviest after it, and so on
+        # Entries are (time, work): the heaviest, the heaviest after it, and so on.
+        self._heaviest: deque[tuple[int, int]] = deque()
         self._sum = 0
 
     def add(self, now: int, work: int) -> bool:
--- a/slatelab/plant/node_load.py
+++ b/slatelab/plant/node_load.py
@@ -6,9 +6,8 @@
 from math import exp
 
 SECOND_US = 1_000_000
-DECAY_US = (
-    500_000  # time constant; this exponential average has the same mean age as a plain average over 1 s
-)
+# Time constant; this exponential average has the same mean age as a plain average over 1 s.
+DECAY_US = 500_000
 
 
 class LoadAverage:
--- a/slatelab/plant/node_pace.py
+++ b/slatelab/plant/node_pace.py
@@ -21,9 +21,8 @@
 
     def __init__(self, settings: Choke, cores: int) -> None:
         self._settings, self._cores = settings, cores
-        self._on_since = self._condition_since = self.due = (
-            inf  # _condition_since: start of the condition for the next change
-        )
+        # _condition_since: start of the condition for the next change.
+        self._on_since = self._condition_since = self.due = inf
         self.on = False
 
     @property
--- a/slatelab/plant/registry.py
+++ b/slatelab/plant/registry.py
@@ -71,9 +71,8 @@
             str, RegistryEntry
         ] = {}  # actual states; deleted nodes remain while in the history
         self.false_deletions: frozenset[str] = frozenset()  # nodes falsely published as deleted
-        self.published: OrderedDict[str, tuple[int, RegistryEntry]] = (
-            OrderedDict()
-        )  # with the revision of the last change, in its order
+        # With the revision of the last change, in its order.
+        self.published: OrderedDict[str, tuple[int, RegistryEntry]] = OrderedDict()
         self.deletions: deque[tuple[int, str]] = deque()  # (revision, node)
 
     def update(self, new: RegistryEntry) -> bool:
@@ -135,9 +134,8 @@
         self._next_slot = float(now)  # earliest time at which the next queued call is processed
         self._down = False
         self._tier_lists = [_TierList() for _ in scenario.tiers]
-        self._pending_changes: deque[tuple[int, int, RegistryEntry]] = (
-            deque()
-        )  # (publication time, tier, entry)
+        # Entries are (publication time, tier, entry).
+        self._pending_changes: deque[tuple[int, int, RegistryEntry]] = deque()
         self._queue: OrderedDict[int, _Call] = OrderedDict()  # calls waiting to be processed
         self._in_progress: OrderedDict[int, _Call] = OrderedDict()  # calls being processed, in order of `due`
         self._watches: dict[int, _Call] = {}
--- a/slatelab/plant/workload.py
+++ b/slatelab/plant/workload.py
@@ -53,10 +53,10 @@
     tenant: int | None = None
 
 
-def generate_orders(scenario: Scenario, draw: RandomStreams, folder: Path) -> list[Order]:
+def generate_orders(scenario: Scenario, random_streams: RandomStreams, folder: Path) -> list[Order]:
     """All orders of the run sorted by time, numbered from 0. `folder` contains the trace files. Raises
     ScenarioError if a trace file is invalid or there are more than MAX_ORDERS orders."""
-    streams = [_stream_orders(scenario, draw, folder, i) for i in range(len(scenario.arrivals))]
+    streams = [_stream_orders(scenario, random_streams, folder, i) for i in range(len(scenario.arrivals))]
     merged = list(islice(heapq.merge(*streams, key=lambda order: order[0]), MAX_ORDERS + 1))
     if len(merged) > MAX_ORDERS:
         raise ScenarioError([f"{scenario.scenario.name}: arrivals: more than {MAX_ORDERS} orders a day"])
@@ -66,16 +66,19 @@
 _Fields = tuple[int, int, int, int, int, bool, int]  # of an Order, without its number
 
 
-def _stream_orders(scenario: Scenario, draw: RandomStreams, folder: Path, i: int) -> Iterator[_Fields]:
+def _stream_orders(
+    scenario: Scenario, random_streams: RandomStreams, folder: Path, i: int
+) -> Iterator[_Fields]:
     stream = scenario.arrivals[i]
     cls_of = _weighted_choice([(cls.name, cls.share) for cls in scenario.classes], stream.classes)
     tenant_of = _weighted_choice([(tenant.name, tenant.share) for tenant in scenario.tenants], stream.tenants)
-    for k, arrival in enumerate(generate_arrivals(scenario, draw, folder, i)):
-        rng = draw.stream("order", i, k)
+    for k, arrival in enumerate(generate_arrivals(scenario, random_streams, folder, i)):
+        rng = random_streams.stream("order", i, k)
+        # Also drawn if the trace names them, so that the later draws stay the same.
         chosen_cls, chosen_tenant = (
             cls_of(rng),
             tenant_of(rng),
-        )  # also drawn if the trace names them, so that the later draws stay the same
+        )
         cls = chosen_cls if arrival.cls is None else arrival.cls
         tenant = chosen_tenant if arrival.tenant is None else arrival.tenant
         yield (
@@ -111,7 +114,9 @@
     return stream.start, min(stream.end or scenario.scenario.duration, scenario.scenario.duration)
 
 
-def generate_arrivals(scenario: Scenario, draw: RandomStreams, folder: Path, i: int) -> Iterator[Arrival]:
+def generate_arrivals(
+    scenario: Scenario, random_streams: RandomStreams, folder: Path, i: int
+) -> Iterator[Arrival]:
     """The arrivals of the i-th stream in order, all within its window. Raises ScenarioError if its trace is
     invalid."""
     stream = scenario.arrivals[i]
@@ -122,7 +127,7 @@
         )
     else:
         times = (
-            _poisson_times(scenario, stream, draw.stream("arrivals", i))
+            _poisson_times(scenario, stream, random_streams.stream("arrivals", i))
             if _is_random(stream)
             else _regular_times(stream)
         )
--- a/slatelab/scenario/types.py
+++ b/slatelab/scenario/types.py
@@ -55,9 +55,8 @@
     max_retry_after: Time = 2_000_000
     connect_timeout: LongTime = 150_000
     idle_close: LongTime = 30_000_000
-    passes_deadline: bool = (
-        True  # nodes call the next tier with the time left, not with the class's whole deadline
-    )
+    # Nodes call the next tier with the time left, not with the class's whole deadline.
+    passes_deadline: bool = True
     over_share_worth: Share = 0.2
     max_open: Positive = 32_768
     memory_mb: Annotated[int, Field(ge=16, le=65_536, strict=True)] = 192
@@ -120,9 +119,8 @@
     deadline: LongTime = 6_000_000
     effect: Literal["safe", "unsafe"] = "unsafe"
     worth: Annotated[float, Field(gt=0, le=1e6)] = 1.0
-    body: Annotated[int, Field(ge=0, le=65_536, strict=True)] = (
-        0  # bytes of a request's body (unsafe classes only)
-    )
+    # Bytes of a request's body (unsafe classes only).
+    body: Annotated[int, Field(ge=0, le=65_536, strict=True)] = 0
 
     @model_validator(mode="after")
     def _sound(self) -> Class:
@@ -190,9 +188,8 @@
     errors: Share = 0.0
     connections: Positive = 700
     handshake_work: Time = 0  # work of accepting a new connection
-    drops_cancelled: bool = (
-        True  # queued work is dropped when its caller disconnects; running work always continues
-    )
+    # Queued work is dropped when its caller disconnects; running work always continues.
+    drops_cancelled: bool = True
     report_every: LongTime = 100_000  # refresh interval of the load report on answers
 
 
@@ -251,9 +248,8 @@
     patience_least: Share | None = None  # if set, drawn uniformly between this and `patience`
     marks_retry: bool = False
     reckless: bool = False
-    alike: bool = (
-        False  # all orders of a class and tenant send identical requests, so that they cannot be told apart
-    )
+    # All orders of a class and tenant send identical requests, so that they cannot be told apart.
+    alike: bool = False
     connections: Positive = 512  # limit of open connections
 
 
@@ -278,7 +274,7 @@
     replace: dies, and a new node with a new id starts cold at the same address after `for`.
     discovery-down: does not answer.   discovery-lies: a share `part` of the tier is falsely published as gone.
     strip-headers: the tier's calls to the next tier carry the class's whole deadline instead of the time left, and no
-    retry marks.
+    marks.
     proxy-kill, proxy-stop: SIGKILL or SIGTERM to proxies of the tier, started again after `for`.
     proxy-freeze: SIGSTOP, and SIGCONT after `for`.
     proxy-reload: SIGHUP with a new configuration.
--- a/tests/lab/test_plant.py
+++ b/tests/lab/test_plant.py
@@ -154,9 +154,8 @@
     times = [arrival.at for arrival in generate_arrivals(run_scenario, RandomStreams(seed), HERE, 0)]
     assert times == sorted(times)
     assert all(start * S <= at < min(10, start + length) * S for at in times)
-    expected = (
-        offered_load(run_scenario)[0].mean * 10 / 0.03
-    )  # equal shares of both classes: 30 ms of work per order
+    # Equal shares of both classes: 30 ms of work per order.
+    expected = offered_load(run_scenario)[0].mean * 10 / 0.03
     chance = 5 * math.sqrt(expected) + 5 if stream["kind"] in ("poisson", "ramp") else 1
     assert abs(len(times) - expected) <= chance
 
--- a/tests/lab/test_registry.py
+++ b/tests/lab/test_registry.py
@@ -139,9 +139,8 @@
         if broken := self.reg.set_down(self.now, yes):
             assert yes and broken == [self.open_call]
             self.open_call = -1
-        assert (
-            not yes or self.open_call < 0 or self.reg.next_event_time() == self.now
-        )  # no call is open except one that gets a 503
+        # No call is open except one that gets a 503.
+        assert not yes or self.open_call < 0 or self.reg.next_event_time() == self.now
 
     def lie(self, gone: tuple[str, ...]) -> None:
         self.reg.set_false_deletions(self.now, 0, gone)
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -169,11 +169,15 @@
     assert scenario.scenario.name == path.stem
     assert path.read_text().startswith("# ") and "shows:" in path.read_text().partition("[scenario]")[0]
     assert find_errors(scenario, FOLDER) == []
-    draw = RandomStreams(scenario.scenario.seed)
-    nodes = build_nodes(scenario, draw)
+    random_streams = RandomStreams(scenario.scenario.seed)
+    nodes = build_nodes(scenario, random_streams)
     proxies = build_proxies(scenario, nodes)
     last = max(
-        (change.at for change in build_fault_schedule(scenario, draw, nodes, proxies) if not change.is_start),
+        (
+            change.at
+            for change in build_fault_schedule(scenario, random_streams, nodes, proxies)
+            if not change.is_start
+        ),
         default=0,
     )
     assert last <= scenario.scenario.duration
@@ -181,15 +185,14 @@
     busiest = max(load.peak / load.capacity for load in offered_load(scenario))
     if path.stem == "hundred-proxies":
         assert (len(nodes), len(proxies)) == (1000, 100) and len(
-            generate_orders(scenario, draw, FOLDER)
+            generate_orders(scenario, random_streams, FOLDER)
         ) <= 20_000
     else:  # small enough for the live engine on eight cores
-        rate = len(generate_orders(scenario, draw, FOLDER)) / seconds
+        rate = len(generate_orders(scenario, random_streams, FOLDER)) / seconds
         assert 15 <= seconds <= 45 and rate <= 320 and len(proxies) <= 10
     overloaded = ("flash-crowd", "one-loud", "storm-tenant")
-    assert (busiest > 1) == (
-        path.stem in overloaded
-    )  # the peaks of the others are within the capacity of the nodes
+    # The peaks of the others are within the capacity of the nodes.
+    assert (busiest > 1) == (path.stem in overloaded)
 
 
 def _keys(table_type: type[BaseModel]) -> set[str]:
