--- a/slatelab/figures/orders.py
+++ b/slatelab/figures/orders.py
@@ -39,10 +39,12 @@
 
     @property
     def in_time(self) -> bool:
+        """Whether the order was served within its class's aim."""
         return self.end == "served" and self.latency <= self.aim
 
     @property
     def late(self) -> bool:
+        """Whether the order was served after its class's aim."""
         return self.end == "served" and self.latency > self.aim
 
 
--- a/slatelab/judge/case.py
+++ b/slatelab/judge/case.py
@@ -69,4 +69,5 @@
                 return
 
     def answers(self) -> list[Answered]:
+        """All answers to the request, in order of time."""
         return [end for end in self.ends if isinstance(end, Answered)]
--- a/slatelab/judge/checker.py
+++ b/slatelab/judge/checker.py
@@ -90,9 +90,11 @@
 
     @property
     def count(self) -> int:
+        """Number of orders seen."""
         return len(self._tries)
 
     def add(self, case: Case, unsafe: bool) -> None:
+        """Adds the case of one request of a client; calls of nodes are ignored."""
         if "/" in case.request:
             return
         order = order_id(case.request)
--- a/slatelab/judge/report.py
+++ b/slatelab/judge/report.py
@@ -50,6 +50,7 @@
 
     @property
     def passed(self) -> bool:
+        """Whether no rule was broken."""
         return not self.counts
 
 
@@ -62,12 +63,14 @@
         self._kept: dict[str, list[Violation]] = {rule: [] for rule in RULES}
 
     def add(self, violations: Iterable[Violation]) -> None:
+        """Counts violations and keeps the first ones of each rule."""
         for violation in violations:
             self.counts[violation.rule] += 1
             if len(self._kept[violation.rule]) < MAX_VIOLATIONS:
                 self._kept[violation.rule].append(violation)
 
     def report(self, requests: int, orders: int) -> JudgeReport:
+        """The report on everything added; `requests` and `orders` are how many were judged."""
         broken = {rule: count for rule, count in self.counts.items() if count}
         kept = sorted(self._select(), key=lambda violation: violation.t)
         return JudgeReport(kept, broken, requests, orders)
--- a/slatelab/judge/requests.py
+++ b/slatelab/judge/requests.py
@@ -34,6 +34,7 @@
         self._cancel_delay = 2 * scenario.network.delay + scenario.rules.answer_slack
 
     def judge(self, case: Case) -> Iterator[Violation]:
+        """All violations of one request."""
         yield from self.answered_once(case)
         yield from self.answered_in_time(case)
         if case.attempts:
@@ -42,6 +43,7 @@
             yield from self.answer_is_genuine(case)
 
     def attempt_rules(self, case: Case) -> Iterator[Violation]:
+        """Applies the rules on the attempts of a request."""
         if self.is_unsafe(case):
             yield from self.ran_twice(case)
             yield from self.refused_after_run(case)
@@ -167,6 +169,7 @@
     # ------------------------------------------------------------ the attempts
 
     def ran_twice(self, case: Case) -> Iterator[Violation]:
+        """An unsafe request may begin at most once at the nodes."""
         for began in case.began[1:2]:
             nodes = ", ".join(fact.node for fact in case.began[:10])
             text = f"unsafe, and it began {len(case.began)} times: at {nodes}"
@@ -229,6 +232,7 @@
                     return
 
     def too_many_attempts(self, case: Case) -> Iterator[Violation]:
+        """At most proxy.attempts attempts of a request may reach nodes."""
         limit = self.proxy.attempts
         if len(case.attempts) > limit:
             text = f"{len(case.attempts)} attempts came to nodes, {limit} are allowed"
--- a/slatelab/plant/node_cores.py
+++ b/slatelab/plant/node_cores.py
@@ -51,6 +51,7 @@
         return item
 
     def clear(self) -> None:
+        """Removes all items."""
         self.heap.clear()
         self._update_share()
 
--- a/slatelab/plant/node_pace.py
+++ b/slatelab/plant/node_pace.py
@@ -27,6 +27,7 @@
 
     @property
     def slowdown(self) -> float:
+        """The current slowdown factor; 1 if the node is not choked."""
         return self._settings.slower if self.on else 1.0
 
     def set_held(self, t: float, held: int) -> None:
--- a/slatelab/results.py
+++ b/slatelab/results.py
@@ -34,6 +34,8 @@
 
 
 class Versions(msgspec.Struct, frozen=True):
+    """Versions of the software that made the result."""
+
     python: str
     slatelab: str
     revision: str  # of the lab's own tree; "" if there is no repository
@@ -41,6 +43,8 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
+    """Hardware of the host that made the result."""
+
     cores: int
     model: str
     memory_mb: int
@@ -57,6 +61,8 @@
 
 
 class Ruled(msgspec.Struct, frozen=True):
+    """Summary of the judge's report: number of violations in all and by rule, and the first of them."""
+
     violations: int
     by_rule: dict[str, int]
     first: list[Complaint]
@@ -120,6 +126,7 @@
 
 
 def sha256(data: bytes) -> str:
+    """SHA-256 as hexadecimal digits."""
     return hashlib.sha256(data).hexdigest()
 
 
@@ -134,6 +141,7 @@
         self.final_path = path  # changes once the folder has been renamed
 
     def add(self, name: str, data: bytes) -> None:
+        """Writes one file and flushes it to disk."""
         with (self.temporary_path / name).open("wb") as file:
             file.write(data)
             file.flush()
@@ -226,6 +234,7 @@
 
 
 def folder_name(created: str, scenario: str, engine: str, seed: int) -> str:
+    """The name of a result folder; `created` is a time from `utc_timestamp`."""
     return f"{created}-{scenario}-{engine}-s{seed}"
 
 
--- a/slatelab/scenario/types.py
+++ b/slatelab/scenario/types.py
@@ -25,6 +25,8 @@
 
 
 class RunInfo(ScenarioTable):
+    """Name, description, duration and seed of the scenario."""
+
     name: Name
     about: str = Field(default="", max_length=2000)
     duration: LongTime  # of the arrivals; the run then waits for open orders
@@ -96,6 +98,8 @@
 
 
 class Discovery(ScenarioTable):
+    """Delays and capacity of discovery."""
+
     delay: Time = 1_000_000  # from a change of a node until it is published
     answer: Time = 1_000  # processing time of one call
     capacity: Rate = 0.0  # calls per second; 0: no limit
@@ -112,6 +116,8 @@
 
 
 class Class(ScenarioTable):
+    """A class of requests: its share of the arrivals, its work, deadlines and worth."""
+
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0  # of the arrivals, in proportion
     work: Work
@@ -132,6 +138,8 @@
 
 
 class Tenant(ScenarioTable):
+    """A tenant: its share of the arrivals and its allowance."""
+
     name: Name
     share: Annotated[float, Field(gt=0, le=1e6)] = 1.0  # of the arrivals, in proportion
     allowance: Rate = 0.0  # requests beyond it have a lower worth; 0: no limit
@@ -317,6 +325,8 @@
 
 
 class Scenario(ScenarioTable):
+    """A whole scenario file."""
+
     scenario: RunInfo
     proxy: Proxies = Proxies()
     fleet: Fleet = Fleet()
