--- a/slatelab/live/emulated_node.py
+++ b/slatelab/live/emulated_node.py
@@ -335,13 +335,20 @@
         if self.isolated:
             return  # no response is written while isolated; the connection is reset when the isolation ends
         extra = f"X-Server-Load: {self._load_report()}\r\n" + (
-            "X-Not-Processed: 1\r\n" if output.turned else ""
+            "X-Not-Processed: 1\r\n" if output.not_processed else ""
         )
         now = self.now()  # taken before the write: a later stamp could exceed the caller's receive time
         connection.answer(output.status, extra, output.token.encode())
         self.channel.facts.add(
             Replied(
-                now, spec.id, self.life, call.request, call.proxy, output.status, output.turned, output.token
+                now,
+                spec.id,
+                self.life,
+                call.request,
+                call.proxy,
+                output.status,
+                output.not_processed,
+                output.token,
             )
         )
 
--- a/slatelab/model/simulated_node.py
+++ b/slatelab/model/simulated_node.py
@@ -256,12 +256,19 @@
         if self.isolated:
             return  # the reply is lost; the connection is reset when the black hole ends
         connection.to_proxy.send(
-            connection.answered, output.status, output.turned, output.token, self.report()
+            connection.answered, output.status, output.not_processed, output.token, self.report()
         )
         request = task.client_request.request
         self.context.add_record(
             Replied(
-                now, self.spec.id, self.life, request, task.proxy, output.status, output.turned, output.token
+                now,
+                self.spec.id,
+                self.life,
+                request,
+                task.proxy,
+                output.status,
+                output.not_processed,
+                output.token,
             )
         )
 
