--- a/slatelab/live/peer_network.py
+++ b/slatelab/live/peer_network.py
@@ -23,13 +23,13 @@
     real sockets varies."""
 
     def __init__(self, scenario: Scenario, proxies: list[ProxySpec], rng: Random, scratch: Path) -> None:
-        self.terms, self.proxies = scenario.fleet, proxies
-        self.net = PeerNetwork(rng, self.terms.delay)
-        self.net.faults.loss = self.terms.lost
+        self.config, self.proxies = scenario.fleet, proxies
+        self.network = PeerNetwork(rng, self.config.delay)
+        self.network.faults.loss = self.config.lost
         self.key_path = scratch / "fleet.key"
         self.key_path.unlink(missing_ok=True)
         key_file.add(str(self.key_path), True)
-        self.relay = Relay(self.net, [proxy.name for proxy in proxies])
+        self.relay = Relay(self.network, [proxy.name for proxy in proxies])
 
     def fleet_table(self, proxy: ProxySpec) -> str:
         """The proxy's `[fleet]` table of the operator's file."""
@@ -38,13 +38,13 @@
         rows = {
             "listen": _host_port(self.relay.listen_addresses[proxy.name]),
             "advertise": _host_port(self.relay.advertised_address(proxy.name)),
-            "seeds": seeds, "name": "lab", "key_file": str(self.key_path), "share": self.terms.share,
+            "seeds": seeds, "name": "lab", "key_file": str(self.key_path), "share": self.config.share,
         }  # fmt: skip
         return "[fleet]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
 
     def apply_fault(self, change: FaultEvent) -> None:
         with self.relay.lock:
-            apply_change(self.net, change, [proxy.name for proxy in self.proxies], self.terms.lost)
+            apply_change(self.network, change, [proxy.name for proxy in self.proxies], self.config.lost)
 
     def close(self) -> None:
         self.relay.close()
--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -240,9 +240,9 @@
             self._register_node(message, "DRAINING", 0)
 
     def _register_node(self, message: Message, phase: str, since: int) -> None:
-        place, node = message["place"], message["node"]
-        where = self.plan.node_address(place)
-        self.emulation.discovery.send("set", place=place, node=node, phase=phase, where=where, since=since)
+        location, node = message["place"], message["node"]
+        where = self.plan.node_address(location)
+        self.emulation.discovery.send("set", place=location, node=node, phase=phase, where=where, since=since)
 
     def _report_progress(self, tick: Message) -> None:
         if self.on_progress:
@@ -269,8 +269,8 @@
             for name in change.targets:
                 self._apply_proxy_fault(name, change.kind, change.is_start)
         elif change.kind in ("start", "renew"):
-            for place in change.targets:
-                self._spawn(self._start_node(place, change.kind == "renew"))
+            for location in change.targets:
+                self._spawn(self._start_node(location, change.kind == "renew"))
         elif change.kind.startswith("discovery-"):
             self.emulation.discovery.send("change", n=n)
         else:
@@ -290,15 +290,15 @@
     def _prestart_own_proxies(self, change: FaultEvent) -> None:
         """Starts the nodes' own proxies early. Such a proxy stops and starts with its node, and needs time to
         become ready so that the node is not late."""
-        for place in change.targets:
-            if place in self.down_nodes and (proxy := self.proxy_fleet.owned.get(place)):
+        for location in change.targets:
+            if location in self.down_nodes and (proxy := self.proxy_fleet.owned.get(location)):
                 self._spawn(proxy.start())
 
-    async def _start_node(self, place: str, renewed: bool) -> None:
-        if place not in self.down_nodes:
+    async def _start_node(self, location: str, renewed: bool) -> None:
+        if location not in self.down_nodes:
             return
-        if proxy := self.proxy_fleet.owned.get(place):
+        if proxy := self.proxy_fleet.owned.get(location):
             await proxy.start()
             with suppress(TimeoutError):
                 await asyncio.wait_for(proxy.ready.wait(), READY_TIMEOUT_S)
-        self.emulation.send_to_nodes("start", place=place, renewed=renewed)
+        self.emulation.send_to_nodes("start", place=location, renewed=renewed)
--- a/slatelab/peers/membership_simulation.py
+++ b/slatelab/peers/membership_simulation.py
@@ -28,7 +28,9 @@
         self.rng = Random(seed)
         self.net = PeerNetwork(Random(seed + 1))
         self.terms = terms or MembershipConfig()
-        self.make_peer = make_peer or (lambda place, now, rng: Peer(place, (KEY,), now, rng, self.terms))
+        self.make_peer = make_peer or (
+            lambda identity, now, rng: Peer(identity, (KEY,), now, rng, self.terms)
+        )
         self.now = EPOCH
         self.peers: dict[str, Peer] = {}
         self.addresses: dict[tuple[str, int], str] = {}
@@ -38,16 +40,16 @@
         self._sequence = 0
         self._next_wakeup: dict[str, int] = {}  # by name: when each peer is to be advanced next
 
-    def place(self, name: str, seeds: int = 2) -> PeerIdentity:
+    def identity_for(self, name: str, seeds: int = 2) -> PeerIdentity:
         first = tuple(sorted(self.addresses))[:seeds]
         number = int(name[1:])
         return PeerIdentity(name, "lab", 0, f"10.0.{number >> 8}.{number & 255}", 7000, first)
 
     def start(self, *names: str) -> None:
         for name in names:
-            place = self.place(name)
-            self.addresses[place.host, place.port] = name
-            self.peers[name] = self.make_peer(place, self.now, Random(self.rng.getrandbits(64)))
+            identity = self.identity_for(name)
+            self.addresses[identity.host, identity.port] = name
+            self.peers[name] = self.make_peer(identity, self.now, Random(self.rng.getrandbits(64)))
             self._process_output(name)
 
     def stop(self, *names: str, leave: bool = False) -> None:
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """`machine`: index of the node; `duration`: how long it lasts, microseconds; `magnitude`: further
+    """`node_index`: index of the node; `duration`: how long it lasts, microseconds; `magnitude`: further
     parameter of the kind, 0 to 1 for faults."""
 
     at: int
     kind: str
-    machine: int
+    node_index: int
     duration: int = 0
     magnitude: float = 0.0
 
@@ -43,7 +43,7 @@
     longest: int = 0  # longest operation, microseconds
 
 
-def drawn(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
+def draw_events(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
     rng = Random(seed)
     events = [
         Event(rng.randrange(RUN_US), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
@@ -56,7 +56,7 @@
     return sorted(events, key=lambda event: event.at)
 
 
-class Player:
+class RandomizedRun:
     def __init__(self, seed: int, size: int, build: ReplicaFactory | None, same_number: bool = False) -> None:
         self.names = [f"p{i}" for i in range(size)]
         self.simulation = ReplicaSimulation(seed, self.names, build=build)
@@ -76,7 +76,7 @@
         keys = sorted({asked.key for asked in simulation.history})
         unread = [key for key in keys if simulation.read(key) is None]
         found = linearizability_violations(simulation.history) + [
-            f"{key.hex()[:6]}: cannot be read once all is well" for key in unread
+            f"{key.hex()[:6]}: cannot be read after all faults have ended" for key in unread
         ]
         late = max((a.ended - a.began for a in simulation.history if a.ended), default=0)
         self.counts.update(asked.outcome for asked in simulation.history)
@@ -102,7 +102,7 @@
         faults.loss = faults.duplication = faults.reordering = 0.0
 
     def _do(self, event: Event) -> None:
-        name, simulation = self.names[event.machine], self.simulation
+        name, simulation = self.names[event.node_index], self.simulation
         if event.kind == "ask":
             simulation.append_token(name, bytes([int(event.magnitude) + 1]) * 16)
             return
@@ -137,7 +137,7 @@
         """Provokes the loss of a write if a wiped voter still counts: the first node writes together with the
         second while the third is cut off; then the second loses its storage and is left with the third, so
         that a majority would have forgotten the write."""
-        second, third = (self.names[(event.machine + i) % len(self.names)] for i in (1, 2))
+        second, third = (self.names[(event.node_index + i) % len(self.names)] for i in (1, 2))
         self._cut(third, replace(event, magnitude=0.0))
         self.simulation.call_after(
             event.duration, lambda: self._wipe(second, replace(event, duration=10 * MS))
@@ -153,7 +153,9 @@
     def _cut(self, name: str, event: Event, both: bool = True) -> None:
         self.partition_count += 1
         fault = f"cut-{self.partition_count}"
-        side = [name] if event.magnitude < 0.5 else [name, self.names[(event.machine + 1) % len(self.names)]]
+        side = (
+            [name] if event.magnitude < 0.5 else [name, self.names[(event.node_index + 1) % len(self.names)]]
+        )
         self.simulation.net.partition(fault, side, [n for n in self.names if n not in side], both)
         self.simulation.call_after(event.duration, lambda: self.simulation.net.heal(fault))
 
@@ -203,26 +205,28 @@
     reuse_store_id: bool = False,
 ) -> RunResult:
     """Runs one seed. `reuse_store_id`: deliberate fault, see ReplicaSimulation."""
-    return Player(seed, size, build, reuse_store_id).play(drawn(seed, size) if events is None else events)
+    return RandomizedRun(seed, size, build, reuse_store_id).play(
+        draw_events(seed, size) if events is None else events
+    )
 
 
 def shrink(seed: int, size: int, build: ReplicaFactory | None = None) -> tuple[list[Event], RunResult]:
     """Shrinks a failing run to fewer events, leaving out blocks and then single events, as long as a rule is
     still broken."""
-    events = drawn(seed, size)
-    day = run_seed(seed, size, build, events)
+    events = draw_events(seed, size)
+    result = run_seed(seed, size, build, events)
     step = max(1, len(events) // 2)
-    while step and day.violations:
+    while step and result.violations:
         at = 0
         while at < len(events):
             less = events[:at] + events[at + step :]
             tried = run_seed(seed, size, build, less)
             if tried.violations:
-                events, day = less, tried
+                events, result = less, tried
             else:
                 at += step
         step //= 2
-    return events, day
+    return events, result
 
 
 def _run_job(job: tuple[int, int]) -> tuple[int, RunResult]:
@@ -240,20 +244,18 @@
     seeds = range(int(first), int(last or first) + 1)
     began, counts, bad, longest = time.perf_counter(), Counter[str](), list[int](), 0
     with ProcessPoolExecutor(args.jobs) as pool:
-        for seed, day in pool.map(_run_job, [(seed, args.size) for seed in seeds], chunksize=4):
-            counts.update(day.counts)
-            longest = max(longest, day.longest)
-            if day.violations:
+        for seed, result in pool.map(_run_job, [(seed, args.size) for seed in seeds], chunksize=4):
+            counts.update(result.counts)
+            longest = max(longest, result.longest)
+            if result.violations:
                 bad.append(seed)
-                print(f"seed {seed}: {day.violations[0]}", flush=True)
-    print(
-        f"{len(seeds)} days of {args.size} machines in {time.perf_counter() - began:.0f} s, {len(bad)} broken"
-    )
+                print(f"seed {seed}: {result.violations[0]}", flush=True)
+    print(f"{len(seeds)} runs of {args.size} nodes in {time.perf_counter() - began:.0f} s, {len(bad)} broken")
     print(f"longest operation {longest / MS:.0f} ms, written {counts[WRITTEN]}")
     print(", ".join(f"{key} {count}" for key, count in sorted(counts.items())))
     for seed in bad[:1] if args.shrink else []:
-        events, day = shrink(seed, args.size)
-        print(f"the least of seed {seed}:", *events, *day.violations[:3], sep="\n  ")
+        events, result = shrink(seed, args.size)
+        print(f"shortest failing run of seed {seed}:", *events, *result.violations[:3], sep="\n  ")
 
 
 if __name__ == "__main__":
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -24,7 +24,7 @@
 EPOCH = 1_700_000_000_000_000
 MS = 1_000
 SECOND = 1_000_000
-TOKEN = 6  # bytes
+TOKEN_BYTES = 6  # bytes
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Append:
+class AppendToken:
     token: bytes
 
     def __call__(self, found: bytes) -> bytes:
@@ -88,7 +88,7 @@
         self.frozen: dict[str, list[tuple[str, bytes]]] = {}
         self.clocks: dict[str, int] = {}  # offset of each node's clock, microseconds
         self.history: list[Operation] = []
-        self.open: dict[tuple[str, int, int], Operation] = {}
+        self.open_operations: dict[tuple[str, int, int], Operation] = {}
         self.lines: list[tuple[int, str, str]] = []
         self._queue: list[tuple[int, int, str, str, Any]] = []
         self._sequence = 0
@@ -132,8 +132,8 @@
             disk.synced += disk.unsynced[: self.rng.randrange(len(disk.unsynced) + 1)]
             disk.unsynced.clear()
             disk.busy = disk.full = False
-            for key in [k for k in self.open if k[0] == name]:
-                self._end_operation(self.open.pop(key), UNCERTAIN, b"")
+            for key in [k for k in self.open_operations if k[0] == name]:
+                self._end_operation(self.open_operations.pop(key), UNCERTAIN, b"")
         self.frozen.pop(name, None)
         self.lives[name] = self.lives.get(name, 0) + 1
         if wipe and name in self.disks:
@@ -163,11 +163,11 @@
         if name not in self.running or name in self.frozen:
             return None
         self.tokens += 1
-        operation = Operation(key, self.tokens.to_bytes(TOKEN, "big"), self.now)
+        operation = Operation(key, self.tokens.to_bytes(TOKEN_BYTES, "big"), self.now)
         self.history.append(operation)
         replica = self.running[name]
-        number = replica.propose(self._clock(name), key, Append(operation.token))
-        self.open[name, self.lives[name], number] = operation
+        number = replica.propose(self._clock(name), key, AppendToken(operation.token))
+        self.open_operations[name, self.lives[name], number] = operation
         self._process_output(name)
         return operation
 
@@ -281,7 +281,7 @@
         self._process_output(name)
 
     def _result(self, name: str, result: OperationResult) -> None:
-        operation = self.open.pop((name, self.lives[name], result.operation), None)
+        operation = self.open_operations.pop((name, self.lives[name], result.operation), None)
         if operation:
             self._end_operation(operation, result.outcome, result.value)
 
@@ -303,7 +303,7 @@
 
 
 def tokens(value: bytes) -> list[bytes]:
-    return [value[i : i + TOKEN] for i in range(0, len(value), TOKEN)]
+    return [value[i : i + TOKEN_BYTES] for i in range(0, len(value), TOKEN_BYTES)]
 
 
 def linearizability_violations(history: list[Operation]) -> list[str]:
@@ -324,25 +324,25 @@
     position = {token: i for i, token in enumerate(final)}
     found = []
     if len(position) < len(final):
-        found.append(f"{key.hex()[:6]}: a token stands twice")
+        found.append(f"{key.hex()[:6]}: a token appears twice")
     for op in done:
         seen = tokens(op.value)
         if seen != final[: len(seen)] or op.token not in seen:
             text = (
-                f"token {_short(op.token)} was answered {_token_list(seen)}, in the end {_token_list(final)}"
+                f"token {_short(op.token)} was answered {_token_list(seen)}, final value {_token_list(final)}"
             )
             found.append(f"{key.hex()[:6]}: {text}")
     for op in ops:
         if op.outcome not in (WRITTEN, UNCERTAIN, "") and op.outcome != UNCHANGED and op.token in position:
             found.append(
-                f"{key.hex()[:6]}: token {_short(op.token)} was told as not written, and stands there"
+                f"{key.hex()[:6]}: token {_short(op.token)} was reported as not written, yet is in the register"
             )
     order = sorted((op for op in ops if op.token in position), key=lambda op: position[op.token])
     latest = 0
     for op in order:
         if op.ended and op.outcome == WRITTEN and op.ended < latest:
             found.append(
-                f"{key.hex()[:6]}: token {_short(op.token)} stands behind one that began after its end"
+                f"{key.hex()[:6]}: token {_short(op.token)} comes after one that began after its end"
             )
         latest = max(latest, op.began)
     return found
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -43,10 +43,10 @@
 
 
 def scenario(duration: str = "2 s", rate: str = "40/s", **more: Any) -> Scenario:
-    look = {"name": "job-status", "effect": "safe", "work": {"mean": "5 ms"}}
-    buy = {"name": "order-place", "body": 200, "work": {"mean": "10 ms"}}
+    status_class = {"name": "job-status", "effect": "safe", "work": {"mean": "5 ms"}}
+    order_class = {"name": "order-place", "body": 200, "work": {"mean": "10 ms"}}
     tier = {"name": "front", "kind": [{"name": "front-std", "nodes": 3}]}
-    tree = {"scenario": {"name": "tiny", "duration": duration}, "class": [look, buy], "tier": [tier],
+    tree = {"scenario": {"name": "tiny", "duration": duration}, "class": [status_class, order_class], "tier": [tier],
             "arrivals": [{"kind": "steady", "rate": rate}]}  # fmt: skip
     return parse({**tree, **more})
 
@@ -77,11 +77,11 @@
 
 def test_a_small_run_with_the_real_proxy_breaks_no_rule_and_leaves_no_process(tmp_path: Path) -> None:
     ticks: list[ProgressSnapshot] = []
-    what = scenario()
-    recording = run(what, 1, tmp_path, ticks.append, ROOT, tmp_path)
+    tested = scenario()
+    recording = run(tested, 1, tmp_path, ticks.append, ROOT, tmp_path)
     seen = Counter(type(record) for record in recording.records)
     assert seen[Asked] == seen[Answered] == 80 <= seen[Replied] <= seen[Came]
-    assert judge(what, recording.records).violations == []
+    assert judge(tested, recording.records).violations == []
     assert {"load", "discovery", "nodes-0", "p-front-1"} == set(
         started_pids(tmp_path)
     ) and wait_until_all_gone(tmp_path)
@@ -100,11 +100,11 @@
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_no_process_outlives_the_lab(number: int, tmp_path: Path) -> None:
-    what = {"scenario": {"name": "long", "duration": "60 s"},
+    tested = {"scenario": {"name": "long", "duration": "60 s"},
             "class": [{"name": "a", "work": {"mean": "5 ms"}}],
             "tier": [{"name": "front", "kind": [{"name": "k", "nodes": 1}]}],
             "arrivals": [{"kind": "steady", "rate": "10/s"}]}  # fmt: skip
-    command = [sys.executable, "-c", LAB_SCRIPT, str(ROOT), str(tmp_path), json.dumps(what)]
+    command = [sys.executable, "-c", LAB_SCRIPT, str(ROOT), str(tmp_path), json.dumps(tested)]
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
     lab = subprocess.Popen(command, env=env, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     assert lab.stdout and lab.stdout.readline() == "tick\n"
@@ -149,14 +149,14 @@
     """A single emulated node, and the notifications that it sends."""
 
     def __init__(self, tmp: Path, at: Addresses) -> None:
-        loop, what = asyncio.get_running_loop(), scenario()
+        loop, tested = asyncio.get_running_loop(), scenario()
         self.clock = Clock(loop, monotonic_us())
-        self.no_faults = ActiveFaults(what).conditions_for("s-front-1")
+        self.no_faults = ActiveFaults(tested).conditions_for("s-front-1")
         self.notifications: list[str] = []
         self.address = (at.node(0), at.port)
         self.node = EmulatedNode(
-            HelperChannel(loop, JobContext("node", monotonic_us(), tmp / "facts")), what, RandomStreams(1),
-            NodeLocation(build_nodes(what, RandomStreams(1))[0], *self.address),
+            HelperChannel(loop, JobContext("node", monotonic_us(), tmp / "facts")), tested, RandomStreams(1),
+            NodeLocation(build_nodes(tested, RandomStreams(1))[0], *self.address),
             lambda say, **more: self.notifications.append(say),
         )  # fmt: skip
         self.node.start(False, self.no_faults, False)
@@ -183,9 +183,9 @@
         at.close()
 
 
-async def assert_times_out(what: Awaitable[object]) -> None:
+async def assert_times_out(awaitable: Awaitable[object]) -> None:
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(what, QUIET_PERIOD_S)
+        await asyncio.wait_for(awaitable, QUIET_PERIOD_S)
 
 
 def test_a_black_hole_hangs_connects_and_its_end_resets_what_was_open(tmp_path: Path) -> None:
@@ -328,10 +328,10 @@
 
 
 def test_leftovers_are_named_while_they_run_and_never_touched(tmp_path: Path) -> None:
-    keeper = ProcessSupervisor(tmp_path)
-    child = keeper.start("sleeper", ["/bin/sleep", "600"], cwd=tmp_path, env={})
+    supervisor = ProcessSupervisor(tmp_path)
+    child = supervisor.start("sleeper", ["/bin/sleep", "600"], cwd=tmp_path, env={})
     assert leftover_processes(tmp_path) == [f"sleeper ({child.pid})"] and is_running(child.pid)
-    keeper.close()
+    supervisor.close()
     assert leftover_processes(tmp_path) == [] and not is_running(child.pid)
 
 
--- a/tests/lab/test_peers_of_scenarios.py
+++ b/tests/lab/test_peers_of_scenarios.py
@@ -48,51 +48,55 @@
         "part": 0.9 if kind == "peer-lossy" else 0.0,
     }
     chosen = {} if kind == "peer-lossy" else {"names": ["p-front-1", "p-front-2", "p-front-3"]}
-    day = Simulation(parse({**_scenario_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
+    simulation = Simulation(parse({**_scenario_tree(8), "fault": [{**fault, **chosen}]}), 1, FOLDER, None)
     counts = []
-    day.context.clock.call_at(
+    simulation.context.clock.call_at(
         10_900_000,
         lambda: counts.append(
-            [e.peer.member_counts().present for e in day.context.peer_network.endpoints.values()]
+            [e.peer.member_counts().present for e in simulation.context.peer_network.endpoints.values()]
         ),
     )
-    day.run()
-    assert judge(day.context.scenario, day.context.records).violations == []
+    simulation.run()
+    assert judge(simulation.context.scenario, simulation.context.records).violations == []
     if kind == "peer-cut":
         assert (
             max(counts[0]) <= 5 and sum(counts[0]) <= 30
         )  # of 26 once all suspicions have expired, 56 before the partition
-    assert {end.peer.member_counts().present for end in day.context.peer_network.endpoints.values()} == {7}
+    assert {
+        end.peer.member_counts().present for end in simulation.context.peer_network.endpoints.values()
+    } == {7}
 
 
 def test_a_frozen_proxy_wakes_among_the_others_and_no_rule_is_broken() -> None:
-    day = Simulation(
+    simulation = Simulation(
         load(FOLDER / "one-frozen.toml", {**SHORTENED, "fault.0.for": "5 s", "tier.0.proxies": 6}),
         1,
         FOLDER,
         None,
     )
     seen = []
-    day.context.clock.call_at(
+    simulation.context.clock.call_at(
         8_900_000,
         lambda: seen.append(
-            [e.peer.member_counts().alive for e in day.context.peer_network.endpoints.values()]
+            [e.peer.member_counts().alive for e in simulation.context.peer_network.endpoints.values()]
         ),
     )
-    day.run()
-    assert judge(day.context.scenario, day.context.records).violations == []
+    simulation.run()
+    assert judge(simulation.context.scenario, simulation.context.records).violations == []
     assert sorted(seen[0]) == [4, 4, 4, 4, 4, 5]  # the frozen proxy still has the member list from before
-    assert {end.peer.member_counts().alive for end in day.context.peer_network.endpoints.values()} == {5}
+    assert {end.peer.member_counts().alive for end in simulation.context.peer_network.endpoints.values()} == {
+        5
+    }
     asleep = [
         f
-        for f in day.context.records
-        if isinstance(f, r.Came) and f.proxy == _frozen_proxy(day) and 4e6 < f.first < 9e6
+        for f in simulation.context.records
+        if isinstance(f, r.Came) and f.proxy == _frozen_proxy(simulation) and 4e6 < f.first < 9e6
     ]
     assert not asleep
 
 
-def _frozen_proxy(day: Simulation) -> str:
-    return next(f.targets[0] for f in day.context.records if isinstance(f, r.FaultBegan))
+def _frozen_proxy(simulation: Simulation) -> str:
+    return next(f.targets[0] for f in simulation.context.records if isinstance(f, r.FaultBegan))
 
 
 def test_one_loaded_proxy_alone_rejects_what_the_fleet_has_capacity_for() -> None:
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -291,7 +291,7 @@
     assert (
         run_seed(1, events=TRAP, reuse_store_id=True).violations and not run_seed(1, events=TRAP).violations
     )
-    monkeypatch.setattr(randomized_faults, "drawn", lambda seed, size: TRAP)
+    monkeypatch.setattr(randomized_faults, "draw_events", lambda seed, size: TRAP)
     monkeypatch.setattr(
         randomized_faults,
         "run_seed",
