--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -296,7 +296,7 @@
         run_seed(1, events=WIPE_EVENTS, reuse_store_id=True).violations
         and not run_seed(1, events=WIPE_EVENTS).violations
     )
-    monkeypatch.setattr(randomized_faults, "drawn", lambda seed, size: WIPE_EVENTS)
+    monkeypatch.setattr(randomized_faults, "draw_events", lambda seed, size: WIPE_EVENTS)
     monkeypatch.setattr(
         randomized_faults,
         "run_seed",
