--- a/slatelab/experiments/revisions.py
+++ b/slatelab/experiments/revisions.py
@@ -1,6 +1,6 @@
-"""Other versions of slatehub beside the working tree: a revision exported to a scratch folder, or a folder as
-it stands. It owns what a side of a comparison is called and where its code lies. It must never change the
-repository: no checkout, no worktree, no lock of the index."""
+"""Other versions of slatehub beside the working tree: a revision exported to a scratch folder, or an existing folder.
+This module resolves the name of a side of a comparison to its code. It does not change the repository: no checkout, no
+worktree, no lock of the index."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 REPOSITORY = Path(slatelab.__file__).resolve().parents[1]  # the lab's own tree
 GIT_TIMEOUT_S = 60
 WORKING_TREE = "work"
+MODEL_ENTRY = "slatehub/core/dispatcher.py"  # missing in revisions whose modules have other names
 
 
 class UnknownSideError(Exception):
-    """Neither "work", nor a folder with slatehub in it, nor a revision; or one that the engine cannot run.
-    One line."""
+    """The name is neither "work", nor a folder with slatehub in it, nor a revision; or the engine cannot run that
+    side. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Side:
-    """A slatehub to run: `tree` holds the packages `slatehub` and `paddlestep`, `tested` names it in results.
-    For the engine model a tree other than the working one runs in a process of its own."""
+    """A slatehub to run: `tree` holds the packages `slatehub` and `paddlestep`, `tested` names it in results. With the
+    model engine, a tree other than the working tree runs in a process of its own."""
 
     tested: str
     tree: Path
@@ -38,16 +39,16 @@
         return self.tested != WORKING_TREE
 
 
-OWN = Side(WORKING_TREE, REPOSITORY)
+OWN_SIDE = Side(WORKING_TREE, REPOSITORY)
 
 
 def resolve_side(name: str, scratch: Path, engine: str) -> Side:
-    """The side called `name`; a revision is exported below `scratch`. Raises UnknownSideError."""
+    """Returns the side called `name`. A revision is exported below `scratch`. Raises UnknownSideError."""
     if name == WORKING_TREE:
-        return OWN
+        return OWN_SIDE
     folder = Path(name)
     if (folder / "slatehub").is_dir():
-        return _fit(Side("folder", folder.resolve()), name, engine)
+        return _check_engine(Side("folder", folder.resolve()), name, engine)
     if folder.is_dir() and os.sep in name:
         raise UnknownSideError(f"{name}: there is no slatehub in this folder")
     revision = (
@@ -57,49 +58,54 @@
         raise UnknownSideError(
             f"{name}: neither a folder with slatehub in it nor a revision of {REPOSITORY.name}"
         )
-    return _fit(Side(revision, _export(revision, scratch)), name, engine)
+    return _check_engine(Side(revision, _export(revision, scratch)), name, engine)
 
 
-def _fit(one: Side, name: str, engine: str) -> Side:
-    if not (one.tree / "slatehub").is_dir():
+def _check_engine(side: Side, name: str, engine: str) -> Side:
+    if not (side.tree / "slatehub").is_dir():
         raise UnknownSideError(f"{name}: has no slatehub")
-    if engine == "model" and not (one.tree / "slatehub" / "core").is_dir():
+    if engine == "model" and not (side.tree / "slatehub" / "core").is_dir():
         raise UnknownSideError(
             f"{name}: its slatehub has no package `core` for the engine model to run; use --engine live"
         )
-    return one
+    if engine == "model" and not (side.tree / MODEL_ENTRY).is_file():
+        raise UnknownSideError(
+            f"{name}: the modules of its slatehub have other names than this lab expects (no {MODEL_ENTRY});"
+            " use --engine live"
+        )
+    return side
 
 
 def _export(revision: str, scratch: Path) -> Path:
-    place = scratch / f"rev-{revision[:12]}"
-    if not place.exists():
+    folder_path = scratch / f"rev-{revision[:12]}"
+    if not folder_path.exists():
         with tarfile.open(fileobj=BytesIO(_git("archive", "--format=tar", revision))) as tar:
-            tar.extractall(place, filter="data")
-    return place
+            tar.extractall(folder_path, filter="data")
+    return folder_path
 
 
-def python_path(one: Side, scratch: Path) -> list[Path]:
-    """What PYTHONPATH must hold, in order, so that the side's slatehub and paddlestep come before the working
-    tree's while slatelab stays the working tree's own."""
-    place = Path(tempfile.mkdtemp(prefix="path-", dir=scratch))
+def python_path(side: Side, scratch: Path) -> list[Path]:
+    """Returns the entries of PYTHONPATH, in order, with which the side's slatehub and paddlestep are imported, but the
+    working tree's slatelab."""
+    folder_path = Path(tempfile.mkdtemp(prefix="path-", dir=scratch))
     for package in ("slatehub", "paddlestep"):
-        (place / package).symlink_to(one.tree / package)
-    return [place, REPOSITORY]
+        (folder_path / package).symlink_to(side.tree / package)
+    return [folder_path, REPOSITORY]
 
 
 def repository_state() -> tuple[str, bool]:
-    """The revision of the lab's own tree and whether it had changes; ("", False) outside a repository."""
+    """Returns the revision of the lab's own tree and whether it has changes; ("", False) outside a repository."""
     revision = _git("rev-parse", "--verify", "--quiet", "HEAD").decode().strip()
     return revision, bool(revision and _git("status", "--porcelain", "--untracked-files=no"))
 
 
-def _git(*words: str) -> bytes:
-    """What git says, or nothing where it fails or is missing. Its index is never refreshed: others may be at
-    it."""
+def _git(*arguments: str) -> bytes:
+    """Returns git's output, or nothing if git fails or is missing. The index is not refreshed, since other processes
+    may be using it."""
     env = {**os.environ, "GIT_OPTIONAL_LOCKS": "0"}
     try:
-        done = subprocess.run(
-            ["git", "-C", str(REPOSITORY), *words],
+        completed = subprocess.run(
+            ["git", "-C", str(REPOSITORY), *arguments],
             capture_output=True,
             timeout=GIT_TIMEOUT_S,
             env=env,
@@ -107,4 +113,4 @@
         )
     except (OSError, subprocess.TimeoutExpired):
         return b""
-    return done.stdout if not done.returncode else b""
+    return completed.stdout if not completed.returncode else b""
--- a/slatelab/experiments/run.py
+++ b/slatelab/experiments/run.py
@@ -47,7 +47,7 @@
     engine: str = "model"
     seed: int | None = None
     overrides: tuple[tuple[str, Any], ...] = ()
-    side: revisions.Side = revisions.OWN
+    side: revisions.Side = revisions.OWN_SIDE
     python_path: tuple[Path, ...] = ()
     results_folder: str = ""  # the folder for results; "": nothing is kept
 
--- a/slatelab/replay/__init__.py
+++ b/slatelab/replay/__init__.py
@@ -1,2 +1,2 @@
-"""Flight recordings played again: whether the decision module still does the same, and what it knew when it decided
-about one request. It must never change what it plays, and loads nothing from a recording that could run."""
+"""Replay of flight recordings: checks that the decision module still returns the recorded actions, and explains its
+decisions about one request. The replay does not change the recording and executes no code from it."""
--- a/slatelab/replay/command.py
+++ b/slatelab/replay/command.py
@@ -1,5 +1,5 @@
-"""`replay`: a flight recording played again. It owns the command's options, what it prints and its exit codes: 0 the
-same actions, 1 other ones, 2 not readable."""
+"""The command `replay`: replays a flight recording. This module defines the command's options, what it prints and its
+exit codes: 0 same actions, 1 different actions, 2 unreadable recording."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 from slatehub.observe.flight import Flight, Unreadable, read
 
-from . import words
-from .explain import Explainer, arrivals
+from . import formatting
+from .explain import Explainer, arrival_names
 from .module import fingerprint, load
-from .play import Step, play
+from .replayer import Step, replay_batches
 
-SAME, OTHER, UNREADABLE = 0, 1, 2
+SAME, DIFFERENT, UNREADABLE = 0, 1, 2
 
 
 class Stop(click.ClickException):
-    """Ends the program with a code and one line on standard error."""
+    """Ends the program with an exit code and one line on standard error."""
 
     def __init__(self, code: int, text: str) -> None:
-        super().__init__(words.plain(text, 400))
-        self.exit_code = code  # type: ignore[misc]  # of the class, says click; it is read from here
+        super().__init__(formatting.printable(text, 400))
+        self.exit_code = code  # type: ignore[misc]  # click declares it on the class, but reads it from the instance
 
     def show(self, file: Any = None) -> None:
         click.echo(f"slatelab: {self.message}", err=True)
@@ -45,41 +45,46 @@
     try:
         flight = read(file)
         package = load(tree)
-        words.say(*words.about(flight, fingerprint(package)))
-        code = _explain(flight, package, name, limit) if name is not None else _play(flight, package)
-    except Unreadable as problem:
-        raise Stop(UNREADABLE, f"{file}: {problem}") from None
+        formatting.print_lines(*formatting.describe_recording(flight, fingerprint(package)))
+        code = _explain(flight, package, name, limit, tree) if name is not None else _replay(flight, package)
+    except Unreadable as error:
+        raise Stop(UNREADABLE, f"{file}: {error}") from None
     raise SystemExit(code)
 
 
-def _play(flight: Flight, package: str) -> int:
-    return _verdict(flight, play(flight, package))
+def _replay(flight: Flight, package: str) -> int:
+    return _report_result(flight, replay_batches(flight, package))
 
 
-def _verdict(flight: Flight, steps: Iterable[Step]) -> int:
+def _report_result(flight: Flight, steps: Iterable[Step]) -> int:
     ended = deque(steps, 1)
     if not ended:
-        words.say("no batch has been recorded: nothing to compare")
+        formatting.print_lines("no batch has been recorded: nothing to compare")
         return SAME
     last = ended.pop()
-    if not last.same:
-        words.say(*words.difference(last))
-        return OTHER
-    end = f", and it fails as it did: {words.plain(last.problem)}" if last.problem else ""
-    words.say(f"the same actions in all {len(flight.batches)} batches{end}")
+    if not last.matches:
+        formatting.print_lines(*formatting.describe_difference(last))
+        return DIFFERENT
+    end = f", and it fails as it did: {formatting.printable(last.problem)}" if last.problem else ""
+    formatting.print_lines(f"the same actions in all {len(flight.batches)} batches{end}")
     return SAME
 
 
-def _explain(flight: Flight, package: str, name: str, limit: int) -> int:
-    told = Explainer(flight, package, name)
-    if not told.places:
-        names = list(arrivals(flight))
-        some = f", from {names[0]} to {names[-1]}" if names else ""
-        raise Unreadable(f"no request {name} came in what is recorded; {len(names)} did{some}")
-    code = _verdict(flight, told.steps())
+def _explain(flight: Flight, package: str, name: str, limit: int, tree: Path | None) -> int:
+    explainer = Explainer(flight, package, name)
+    if not explainer.arrival_batches:
+        names = list(arrival_names(flight))
+        first_and_last = f", from {names[0]} to {names[-1]}" if names else ""
+        raise Unreadable(f"no request {name} came in what is recorded; {len(names)} did{first_and_last}")
+    code = _report_result(flight, explainer.steps())
     if code != SAME:
-        words.say("what is told below is the played module's doing, up to that batch")
-    for story in told.stories.values():
-        words.say("")
-        words.told(flight, name, story, limit)
+        formatting.print_lines("what follows describes the replayed module up to that batch")
+    if missing := explainer.observer.missing:
+        formatting.print_lines(
+            f"the decision module of {tree or package} has other names (no {', '.join(missing)}):"
+            " no explanations of single decisions"
+        )
+    for history in explainer.histories.values():
+        formatting.print_lines("")
+        formatting.print_request(flight, name, history, limit)
     return code
--- a/slatelab/replay/module.py
+++ b/slatelab/replay/module.py
@@ -1,5 +1,5 @@
-"""The decision module that a recording is played through: this tree's, or that of another tree beside it. It owns the
-name under which the other one is loaded. It must never put another tree's modules in the place of this one's."""
+"""Loads the decision module through which a recording is replayed: that of this tree, or that of another tree. The
+other tree's package is loaded under a name of its own, so that it never replaces this tree's modules."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 from slatehub.observe.flight import Unreadable
 
-OURS, THEIRS = "paddlestep", "slatelab_replayed_paddlestep"
+OWN_PACKAGE, OTHER_PACKAGE = "paddlestep", "slatelab_replayed_paddlestep"
 
 
 def load(tree: Path | None) -> str:
-    """The package to play through. Unreadable where the tree has none that can be loaded."""
+    """Returns the name of the package to replay through. Raises Unreadable if `tree` has none that can be loaded."""
     if tree is None:
-        return OURS
-    start = tree / "paddlestep" / "__init__.py"
-    if not start.is_file():
+        return OWN_PACKAGE
+    init_file = tree / "paddlestep" / "__init__.py"
+    if not init_file.is_file():
         raise Unreadable(f"{tree}: no paddlestep in it")
-    for name in [name for name in sys.modules if name.partition(".")[0] == THEIRS]:
-        del sys.modules[name]  # of another tree, played before
+    for name in [name for name in sys.modules if name.partition(".")[0] == OTHER_PACKAGE]:
+        del sys.modules[name]  # of another tree, loaded by an earlier call
     spec = importlib.util.spec_from_file_location(
-        THEIRS, start, submodule_search_locations=[str(start.parent)]
+        OTHER_PACKAGE, init_file, submodule_search_locations=[str(init_file.parent)]
     )
     assert spec and spec.loader
-    sys.modules[THEIRS] = importlib.util.module_from_spec(spec)
+    sys.modules[OTHER_PACKAGE] = importlib.util.module_from_spec(spec)
     try:
-        spec.loader.exec_module(sys.modules[THEIRS])
+        spec.loader.exec_module(sys.modules[OTHER_PACKAGE])
         for part in ("balance", "interface"):
-            importlib.import_module(f"{THEIRS}.{part}")
-    except Exception as problem:
-        raise Unreadable(f"{start.parent}: cannot be loaded: {type(problem).__name__}: {problem}") from None
-    return THEIRS
+            importlib.import_module(f"{OTHER_PACKAGE}.{part}")
+    except Exception as error:
+        raise Unreadable(f"{init_file.parent}: cannot be loaded: {type(error).__name__}: {error}") from None
+    return OTHER_PACKAGE
 
 
 def fingerprint(package: str) -> str:
-    """SHA-256 of the module's text, as the recorder takes it."""
+    """Returns the SHA-256 of the module's source, computed as the recorder does."""
     return hashlib.sha256(Path(str(sys.modules[f"{package}.balance"].__file__)).read_bytes()).hexdigest()
--- a/slatelab/replay/play.py
+++ b/slatelab/replay/replayer.py
@@ -1,5 +1,5 @@
-"""Plays the batches of a recording through a decision module and compares the actions with those recorded. It owns the
-comparison. It must never go on after the first difference as if nothing had been: from there on the states differ."""
+"""Replays the batches of a recording through a decision module and compares the returned actions with the recorded
+ones. The replay stops at the first difference, because the two states differ from there on."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 from slatehub.observe.flight import Batch, Flight, Plain, Unreadable
 
-Named = tuple[str, dict[str, Any]]  # an event or action: its kind, its fields
+Named = tuple[str, dict[str, Any]]  # an event or action: its kind and its fields
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One batch played. `wanted` and `got` None: the module failed, here by `problem`."""
+    """One replayed batch. `wanted` or `got` is None if the module failed in the recording or in the replay; `problem`
+    is the error of the replay."""
 
     index: int
     batch: Batch
@@ -22,10 +23,10 @@
     wanted: list[Named] | None
     got: list[Named] | None
     problem: str = ""
-    same: bool = True
+    matches: bool = True
 
     def first_difference(self) -> tuple[Named | None, Named | None]:
-        """The first pair of actions that differ; None where one side has none there."""
+        """Returns the first pair of actions that differ, with None for a side that has no action at that place."""
         wanted, got = self.wanted or [], self.got or []
         for i in range(max(len(wanted), len(got))):
             pair = (wanted[i] if i < len(wanted) else None, got[i] if i < len(got) else None)
@@ -34,39 +35,41 @@
         return None, None
 
 
-def named(one: Any) -> Named:
+def to_named(one: Any) -> Named:
     return type(one).__name__, {f.name: getattr(one, f.name) for f in fields(one)}
 
 
-def recorded(flight: Flight, one: Plain) -> Named:
+def from_recorded(flight: Flight, one: Plain) -> Named:
     place, values = one
     if not 0 <= place < len(flight.head.kinds):
-        raise Unreadable("an action cannot be read: of no known kind")
+        raise Unreadable("an action cannot be read: unknown kind")
     kind, names = flight.head.kinds[place]
     return kind, dict(zip(names, values, strict=False))
 
 
-def play(flight: Flight, package: str, prepare: Callable[[Any], None] | None = None) -> Iterator[Step]:
-    """Each batch in its order, up to the first difference. `prepare` gets the Balancer before the first; Unreadable
-    where this module cannot take up the state or the events."""
+def replay_batches(
+    flight: Flight, package: str, prepare: Callable[[Any], None] | None = None
+) -> Iterator[Step]:
+    """Yields a step for each batch in order, up to the first difference. `prepare` is called with the Balancer before
+    the first batch. Raises Unreadable if this module cannot load the recorded state or events."""
     balancer = flight.thaw(package)
     if prepare:
         prepare(balancer)
     for index, batch in enumerate(flight.batches):
         step = _step(flight, package, balancer, index, batch)
         yield step
-        if not step.same:
+        if not step.matches:
             return
 
 
 def _step(flight: Flight, package: str, balancer: Any, index: int, batch: Batch) -> Step:
     events = [flight.event(one, package) for one in batch.events]
-    wanted = None if batch.actions is None else [recorded(flight, one) for one in batch.actions]
+    wanted = None if batch.actions is None else [from_recorded(flight, one) for one in batch.actions]
     got: list[Named] | None = None
     problem = ""
     try:
-        got = [named(action) for action in balancer.handle(batch.now, events)]
-    except Exception as failed:
-        problem = f"{type(failed).__name__}: {failed}"[:400]
-    same = wanted == got and (got is not None or problem == flight.head.problem)
-    return Step(index, batch, events, wanted, got, problem, same)
+        got = [to_named(action) for action in balancer.handle(batch.now, events)]
+    except Exception as error:
+        problem = f"{type(error).__name__}: {error}"[:400]
+    matches = wanted == got and (got is not None or problem == flight.head.problem)
+    return Step(index, batch, events, wanted, got, problem, matches)
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -280,7 +280,8 @@
 
 @pytest.fixture
 def repository(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A small one with slatehub in two revisions: `old` has no core."""
+    """A small repository whose slatehub has three revisions: `old` has no core, `other-names` has no
+    core/dispatcher.py, the last one has both."""
     home = tmp_path / "home"
     for name in ("slatehub/core", "paddlestep"):
         (home / name).mkdir(parents=True)
@@ -297,6 +298,10 @@
     git("commit", "-qm", "old")
     git("tag", "old")
     (home / "slatehub" / "core" / "__init__.py").write_text("")
+    git("add", ".")
+    git("commit", "-qm", "other names")
+    git("tag", "other-names")
+    (home / "slatehub" / "core" / "dispatcher.py").write_text("")
     (home / "slatehub" / "__init__.py").write_text("version = 'committed'\n")
     git("add", ".")
     git("commit", "-qm", "new")
@@ -327,7 +332,8 @@
 @pytest.mark.parametrize(
     ("name", "engine", "reason"),
     [
-        ("old", "model", "use --engine live"),
+        ("old", "model", "no package `core` .*; use --engine live"),
+        ("other-names", "model", "^other-names: .* other names than this lab expects .*; use --engine live$"),
         ("no-such", "live", "neither a folder"),
         ("--output=x", "live", "neither a folder"),
         ("/usr/bin", "live", "no slatehub in this folder"),
@@ -338,4 +344,5 @@
 ) -> None:
     with pytest.raises(revisions.UnknownSideError, match=reason):
         revisions.resolve_side(name, tmp_path, engine)
-    assert revisions.resolve_side("old", tmp_path, "live").tested
+    for runnable in ("old", "other-names"):
+        assert revisions.resolve_side(runnable, tmp_path, "live").tested
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -6,6 +6,7 @@
 import hashlib
 import os
 import pickle
+import re
 import shutil
 import signal
 from concurrent.futures import ThreadPoolExecutor
@@ -26,7 +27,7 @@
 from slatehub.core.jobs import Answer, Attempt, Job
 from slatehub.observe import flight, recorder
 from slatehub.observe.recorder import FlightRecorder
-from slatelab.replay import play
+from slatelab.replay import replayer
 from slatelab.replay.command import command
 
 KINDS = (
@@ -100,7 +101,7 @@
         assert len(read.batches) <= batches and (
             day.serial <= batches or 2 * len(read.batches) >= batches - 1
         )
-        assert all(step.same for step in play.play(read, "paddlestep"))
+        assert all(step.matches for step in replayer.replay_batches(read, "paddlestep"))
     assert len(list(tmp_path.iterdir())) == 8  # `keep`: the oldest were removed
 
 
@@ -210,6 +211,24 @@
     assert "differs" not in replay(path).output
 
 
+def test_a_replay_says_that_a_module_with_other_names_leaves_decisions_unexplained(tmp_path: Path) -> None:
+    """The observer replaces methods by name; a tree from before a rename would silently show no decisions."""
+    day = RecordedRun(tmp_path, 1000)
+    day.work(50)
+    shutil.copytree(ROOT / "paddlestep", tmp_path / "old/paddlestep")
+    module = tmp_path / "old/paddlestep/balance.py"
+    names = "on_arrival", "retry_or_finish", "on_overdue", "finish_unserved", "pick_server", "over_allowance"
+    module.write_text(re.sub(rf"\b({'|'.join(names)})\b", r"\1_old", module.read_text()))
+    path, line = day.file(), f"the decision module of {tmp_path / 'old'} has other names"
+    done = replay(path, "--request", "r7", "--tree", tmp_path / "old")
+    assert done.exit_code == 0 and "the same actions in all" in done.output
+    said = [one for one in done.output.splitlines() if one.startswith(line)]
+    assert len(said) == 1 and said[0].endswith("no explanations of single decisions")
+    assert all(name in said[0] for name in names) and not re.search(r"batch \d+: ", done.output)
+    done = replay(path, "--request", "r7")
+    assert "has other names" not in done.output and re.search(r"batch \d+: ", done.output)
+
+
 def test_a_module_fault_is_recorded_and_replays_with_the_same_fault(tmp_path: Path, monkeypatch: Any) -> None:
     arrive, problem = Balancer.on_arrival, KeyError("sixty")
 
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -22,7 +22,7 @@
 from paddlestep.interface import Arrival, Entry, ListKind, ListUpdate, ServiceClass, Settings
 from slatehub.observe import flight
 from slatehub.observe.stored_names import STORED_NAMES, stored_names
-from slatelab.replay import play, witness
+from slatelab.replay import decision_observer, replayer
 from slatelab.replay.command import command
 from slatelab.replay.module import load
 
@@ -71,8 +71,8 @@
 
 def test_a_recording_of_the_old_build_replays_without_a_difference() -> None:
     read = flight.read(OLD_RECORDING)
-    steps = list(play.play(read, "paddlestep"))
-    assert len(steps) == len(read.batches) > 40 and all(step.same for step in steps)
+    steps = list(replayer.replay_batches(read, "paddlestep"))
+    assert len(steps) == len(read.batches) > 40 and all(step.matches for step in steps)
 
 
 def test_the_state_of_an_old_recording_has_its_values_under_the_new_names() -> None:
@@ -139,7 +139,7 @@
     _, request, server, balancer = fresh()
     objects = {"b": balancer, "balancer": balancer, "self.balancer": balancer, "server": server}
     objects |= {"request": request, "one": request}
-    tree = ast.parse(Path(witness.__file__).read_text())
+    tree = ast.parse(Path(decision_observer.__file__).read_text())
     read = {(ast.unparse(n.value), n.attr) for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
     read = {(name, attribute) for name, attribute in read if name in objects}
     assert {name for name, _ in read} == objects.keys() and len(read) > 45
@@ -216,7 +216,7 @@
     read, package = flight.read(OLD_RECORDING), load(tmp_path)
     assert package != "paddlestep"
     assert read.thaw(package).in_flight == read.thaw().in_flight
-    assert all(step.same for step in play.play(read, package))
+    assert all(step.matches for step in replayer.replay_batches(read, package))
 
 
 def test_nothing_is_mapped_for_a_tree_whose_classes_have_the_stored_names(tmp_path: Path) -> None:
