--- a/slatelab/experiments/__init__.py
+++ b/slatelab/experiments/__init__.py
@@ -1,2 +1,2 @@
-"""Experiments: one run, many, and what may be concluded from them. They play whatever engine is named and
-read nothing but its records; they must never be imported by an engine, the judge or the plant."""
+"""Experiments: single runs, batches of runs, and the statistics over them. They run any engine and read nothing but its
+records. Engines, the judge and the plant do not import this package."""
--- a/slatelab/experiments/compare.py
+++ b/slatelab/experiments/compare.py
@@ -1,6 +1,6 @@
-"""Two sides on the same days: for each seed the same orders go to both, and what counts is the difference
-within each pair. It owns the pairing and the table of differences. It must never run anything itself, nor
-call a side better while it hides that it broke a rule."""
+"""Comparison of two sides with the same seeds: for each seed both sides get the same orders, and the difference within
+each pair is evaluated. This module defines the pairing and the table of differences; it runs nothing itself. The table
+lists the rules that a side broke beside its verdict."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One figure: means of both sides, b minus a with its interval, and the verdict on b."""
+    """One figure: the means of both sides, b minus a with its interval, and the verdict on b."""
 
     figure: str
     a: float
@@ -26,8 +26,8 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """`violations`: "side seed: rule", of either side. `spoiled`: the same of runs without a result; their
-    whole pair counts nowhere. `same`: how many pairs were equal to the last byte."""
+    """`violations`: "side seed: rule" of both sides. `spoiled`: the same of runs without a result; their whole pair is
+    left out. `same`: the number of pairs whose records are byte-identical."""
 
     scenario: str
     engine: str
@@ -43,23 +43,23 @@
 
 
 def jobs(a: Job, b: Job, seeds: Sequence[int]) -> list[Job]:
-    """Two for each seed. Which side goes first changes from seed to seed, so that a machine that grows slower
-    in the course of the hour wrongs neither."""
-    order: list[Job] = []
+    """Returns two jobs for each seed. The side that runs first alternates from seed to seed, so that a machine that
+    slows down during the comparison favours neither."""
+    ordered: list[Job] = []
     for i, seed in enumerate(seeds):
         pair = [replace(a, seed=seed), replace(b, seed=seed)]
-        order += reversed(pair) if i % 2 else pair
-    return order
+        ordered += reversed(pair) if i % 2 else pair
+    return ordered
 
 
 def compare(a: str, b: str, base: Job, seeds: Sequence[int], outcomes: Sequence[Outcome]) -> Comparison:
-    """Of the outcomes of `jobs`, in that order; `a` and `b` are the names to show."""
+    """Compares the outcomes of `jobs`, given in that order; `a` and `b` are the names to show."""
     pairs = [_pair(i, outcomes) for i in range(len(seeds))]
     names = (a, b)
-    good = [(x, y) for x, y in pairs if isinstance(x, Summary) and isinstance(y, Summary)]
-    lines = [_line(figure, good) for figure in FIGURES]
+    complete = [(x, y) for x, y in pairs if isinstance(x, Summary) and isinstance(y, Summary)]
+    lines = [_compare_figure(figure, complete) for figure in FIGURES]
     return Comparison(
-        scenario=good[0][0].scenario if good else base.file.stem,
+        scenario=complete[0][0].scenario if complete else base.file.stem,
         engine=base.engine,
         a=a,
         b=b,
@@ -67,7 +67,7 @@
         lines=lines,
         verdict=next(line.verdict for line in lines if line.figure == "goodput"),
         violations=[
-            f"{name} seed {seed}: {one.violations}: {'; '.join(one.first) or _counts(one.rules)}"
+            f"{name} seed {seed}: {one.violations}: {'; '.join(one.first) or _format_counts(one.rules)}"
             for seed, pair in zip(seeds, pairs, strict=True)
             for name, one in zip(names, pair, strict=True)
             if isinstance(one, Summary) and one.violations
@@ -78,8 +78,8 @@
             for name, one in zip(names, pair, strict=True)
             if isinstance(one, FailedRun)
         ],
-        same=sum(x.trace_sha256 == y.trace_sha256 for x, y in good),
-        runs=[(_kept(x), _kept(y)) for x, y in pairs],
+        same=sum(x.trace_sha256 == y.trace_sha256 for x, y in complete),
+        runs=[(_summary_or_none(x), _summary_or_none(y)) for x, y in pairs],
     )
 
 
@@ -88,14 +88,16 @@
     return (second, first) if i % 2 else (first, second)
 
 
-def _line(figure: Any, good: Sequence[tuple[Summary, Summary]]) -> Line:
-    of = difference(figure, [x.scalar(figure.key) for x, _ in good], [y.scalar(figure.key) for _, y in good])
-    return Line(figure.key, of.a, of.b, of.interval, of.verdict)
+def _compare_figure(figure: Any, complete: Sequence[tuple[Summary, Summary]]) -> Line:
+    result = difference(
+        figure, [x.scalar(figure.key) for x, _ in complete], [y.scalar(figure.key) for _, y in complete]
+    )
+    return Line(figure.key, result.a, result.b, result.interval, result.verdict)
 
 
-def _counts(rules: dict[str, int]) -> str:
+def _format_counts(rules: dict[str, int]) -> str:
     return ", ".join(f"{rule} {count}" for rule, count in rules.items())
 
 
-def _kept(one: Outcome) -> Summary | None:
+def _summary_or_none(one: Outcome) -> Summary | None:
     return one if isinstance(one, Summary) else None
--- a/slatelab/experiments/run.py
+++ b/slatelab/experiments/run.py
@@ -1,6 +1,6 @@
-"""One run from the scenario's file to a result: reads, plays, judges, measures, keeps. It owns the order of
-these steps, how each kind of failure is called, and the summary that scripts read. It must never decide
-anything about a proxy."""
+"""One run from the scenario's file to a result: reads, runs, judges, measures and stores it. This module defines the
+order of these steps, the error class of each kind of failure, and the summary that scripts read. It judges nothing
+itself."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
     from slatelab.judge import JudgeReport
 
 ENGINES = {"model": "slatelab.model", "live": "slatelab.live"}
-CURES = ("start", "renew", "proxy-start")
-AT_ONCE = ("reset", "proxy-reload", "proxy-end")
-COMPLAINTS = 20  # violations kept with their history
-HISTORY = 20_000  # characters of one history
-LOG_LINES = 400
-LOG_WIDTH = 500
-GRAVE = {"critical": 0, "error": 0, "warning": 1, "warn": 1}
+RECOVERY_KINDS = ("start", "renew", "proxy-start")
+INSTANT_KINDS = ("reset", "proxy-reload", "proxy-end")
+MAX_COMPLAINTS = 20  # violations kept with their history
+MAX_HISTORY_CHARS = 20_000  # of one violation's history
+MAX_LOG_LINES = 400
+MAX_LOG_LINE_CHARS = 500
+SEVERITY = {"critical": 0, "error": 0, "warning": 1, "warn": 1}
 PERCENTILES = ("p50", "p90", "p99", "p999")
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What to play; may be handed to another process. `python_path`: PYTHONPATH of a side that is not the working
-    tree, for the engine model; the engine live gets `side.tree`."""
+    """What to run; can be passed to another process. `python_path`: PYTHONPATH of a side other than the working tree,
+    for the model engine; the live engine gets `side.tree`."""
 
     file: Path
     engine: str = "model"
@@ -49,12 +49,12 @@
     overrides: tuple[tuple[str, Any], ...] = ()
     side: revisions.Side = revisions.OWN_SIDE
     python_path: tuple[Path, ...] = ()
-    results_folder: str = ""  # the folder for results; "": nothing is kept
+    results_folder: str = ""  # folder for results; "": no result is kept
 
 
 class Summary(msgspec.Struct, frozen=True, kw_only=True):
-    """A run in the few figures that scripts and tables need, as `slatelab.figures` defines them. Latencies of
-    served orders in ms; None where there was nothing to measure."""
+    """The figures of a run that scripts and tables need, as `slatelab.figures` defines them. Latencies are those of
+    served orders, in ms. A figure is None if there was nothing to measure."""
 
     scenario: str
     engine: str
@@ -65,7 +65,7 @@
     served: int
     refused: int
     failed: int
-    attempts: float | None  # at nodes of the first tier, an order
+    attempts: float | None  # per order, at nodes of the first tier
     tries: float | None
     wasted: float | None
     worst_class: float | None
@@ -74,11 +74,11 @@
     latency_ms: dict[str, float | None]
     trace_sha256: str
     rules: dict[str, int] = {}
-    first: list[str] = []  # the first violations, a line each
-    result: str = ""  # the folder, where one was kept
+    first: list[str] = []  # the first violations, one line each
+    result: str = ""  # the result's folder, if it was kept
 
     def scalar(self, key: str) -> float | None:
-        """A figure by its key in `statistics.FIGURES`."""
+        """Returns a figure by its key in `statistics.FIGURES`."""
         if key.endswith("_ms"):
             return self.latency_ms[key.removesuffix("_ms")]
         if key.endswith("_share"):
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class CompletedRun:
-    """A run in memory, judged and measured."""
+    """A judged and measured run in memory."""
 
     result: results.Result
     summary: Summary
@@ -98,31 +98,31 @@
 
 
 def load_scenario(job: Job) -> Scenario:
-    """The scenario with the job's changes. Raises ScenarioError, also for what reads well and cannot be played: faults
-    without their targets, an overload that is not declared."""
+    """Returns the scenario with the job's changes. Raises ScenarioError, also if it can be read but not run: faults
+    without targets, an overload that is not declared."""
     scenario = load(job.file, dict(job.overrides))
     check = importlib.import_module("slatelab.plant.check")
-    if wrong := check.find_errors(scenario, job.file.parent):
-        raise ScenarioError([f"{job.file}: {line}" for line in wrong])
+    if errors := check.find_errors(scenario, job.file.parent):
+        raise ScenarioError([f"{job.file}: {line}" for line in errors])
     return scenario
 
 
 def run_with_records(job: Job, watch: ProgressCallback | None = None) -> CompletedRun:
-    """Raises ScenarioError and InvalidRunError; also InvalidRunError for what the machine would not give (sockets,
-    disk, memory)."""
+    """Runs, judges and measures the job. Raises ScenarioError and InvalidRunError; the latter also if the machine lacks
+    sockets, disk space or memory."""
     scenario = load_scenario(job)
     seed = scenario.scenario.seed if job.seed is None else job.seed
-    began = time.monotonic()
+    started = time.monotonic()
     try:
         recording = _record(job, scenario, seed, watch)
-    except (OSError, MemoryError) as problem:
-        raise InvalidRunError(f"the run broke off: {type(problem).__name__}: {problem}") from problem
-    return _conclude(job, scenario, recording, time.monotonic() - began)
+    except (OSError, MemoryError) as error:
+        raise InvalidRunError(f"the run broke off: {type(error).__name__}: {error}") from error
+    return _conclude(job, scenario, recording, time.monotonic() - started)
 
 
 def run(job: Job, watch: ProgressCallback | None = None) -> Summary:
-    """Plays and, where the job says so, keeps the result. The folder is opened before the run, so that a
-    place that cannot be written to is said at once. Raises ScenarioError, InvalidRunError and
+    """Runs the job and keeps the result if the job has a results folder. The folder is created before the run, so that
+    a folder that cannot be written to is reported at once. Raises ScenarioError, InvalidRunError and
     results.ResultWriteError."""
     if not job.results_folder:
         return run_with_records(job, watch).summary
@@ -130,9 +130,9 @@
     seed = scenario.scenario.seed if job.seed is None else job.seed
     name = results.folder_name(results.utc_timestamp(), scenario.scenario.name, job.engine, seed)
     with results.new_result_folder(Path(job.results_folder), name) as draft:
-        played = run_with_records(job, watch)
-        results.save(draft, played.result, played.records)
-    return msgspec.structs.replace(played.summary, result=str(draft.final_path))
+        completed = run_with_records(job, watch)
+        results.save(draft, completed.result, completed.records)
+    return msgspec.structs.replace(completed.summary, result=str(draft.final_path))
 
 
 def _record(job: Job, scenario: Scenario, seed: int, watch: ProgressCallback | None) -> Recording:
@@ -154,7 +154,7 @@
 
 
 def summarise(result: results.Result, figures: Figures) -> Summary:
-    """`figures` are those of the result."""
+    """Returns the summary of a result; `figures` are those of the result."""
     latency = {key: getattr(figures.latency, key) if figures.latency.count else None for key in PERCENTILES}
     worst = [
         one.goodput if one else None
@@ -193,7 +193,7 @@
     ruling: JudgeReport,
 ) -> results.Result:
     raw = job.file.read_bytes()
-    log, lines = logged(recording.records)
+    log, lines = kept_log_lines(recording.records)
     return results.Result(
         made=results.utc_timestamp(),
         versions=_versions(),
@@ -215,7 +215,7 @@
         aims={one.name: one.aim for one in scenario.classes},
         capacity=capacity(recording.records),
         figures=msgspec.to_builtins(figures),
-        ruling=ruled(ruling),
+        ruling=to_ruled(ruling),
         troubles=troubles(recording.records),
         log=log,
         log_lines=lines,
@@ -223,56 +223,58 @@
     )
 
 
-def ruled(ruling: JudgeReport) -> results.Ruled:
-    """The verdict as a result keeps it: all counts, the first violations with their history."""
+def to_ruled(ruling: JudgeReport) -> results.Ruled:
+    """Returns the verdict as a result stores it: all counts, and the first violations with their history."""
     first = [
-        results.Complaint(one.rule, one.request, one.t, one.text, _cut(one.explain()))
-        for one in ruling.violations[:COMPLAINTS]
+        results.Complaint(one.rule, one.request, one.t, one.text, _truncate(one.explain()))
+        for one in ruling.violations[:MAX_COMPLAINTS]
     ]
     return results.Ruled(sum(ruling.counts.values()), dict(ruling.counts), first)
 
 
-def _cut(text: str) -> str:
-    return text if len(text) <= HISTORY else f"{text[:HISTORY]}\n  (cut here)"
+def _truncate(text: str) -> str:
+    return text if len(text) <= MAX_HISTORY_CHARS else f"{text[:MAX_HISTORY_CHARS]}\n  (cut here)"
 
 
 def capacity(records: Sequence[Record]) -> dict[str, float]:
-    """Of each node that started: microseconds of work that it does each microsecond once warm, in its last
-    life."""
+    """Returns for each node that started the microseconds of work that it does per microsecond once warm, as of its
+    last start."""
     return {fact.node: fact.cores for fact in records if isinstance(fact, Up)}
 
 
-def logged(records: Sequence[Record]) -> tuple[list[results.Line], int]:
-    """The lines of the proxies' logs that are kept, in order of time, and how many there were. Where there is
-    no room for all, the grave ones come first."""
+def kept_log_lines(records: Sequence[Record]) -> tuple[list[results.Line], int]:
+    """Returns the kept lines of the proxies' logs, in order of time, and the number of all lines. If there are more
+    than MAX_LOG_LINES, the severe ones are kept first."""
     facts = [fact for fact in records if isinstance(fact, Logged)]
-    chosen = sorted(facts, key=lambda fact: (GRAVE.get(fact.level.lower(), 2), fact.t))[:LOG_LINES]
+    chosen = sorted(facts, key=lambda fact: (SEVERITY.get(fact.level.lower(), 2), fact.t))[:MAX_LOG_LINES]
     return [_line(fact) for fact in sorted(chosen, key=lambda fact: fact.t)], len(facts)
 
 
 def _line(fact: Logged) -> results.Line:
     fields = "".join(f" {key}={value}" for key, value in fact.fields.items())
-    return results.Line(fact.t, fact.proxy, fact.level, fact.topic, f"{fact.text}{fields}"[:LOG_WIDTH])
+    return results.Line(
+        fact.t, fact.proxy, fact.level, fact.topic, f"{fact.text}{fields}"[:MAX_LOG_LINE_CHARS]
+    )
 
 
 def troubles(records: Sequence[Record]) -> list[results.Trouble]:
-    """The fault schedule as it was carried out, by its beginnings. What one entry does next to the same
-    targets ends what it did before: a drain ends when the node is stopped, and that when it is started."""
+    """Returns the fault schedule as it was carried out, ordered by begin. The next fault of an entry on the same
+    targets ends the previous one: a drain ends when the node is stopped, and the stop ends when the node is started."""
     found: list[results.Trouble] = []
     for fact in records:
         if not isinstance(fact, FaultBegan | FaultEnded):
             continue
-        if isinstance(fact, FaultBegan) and fact.kind in AT_ONCE:
+        if isinstance(fact, FaultBegan) and fact.kind in INSTANT_KINDS:
             found.append(results.Trouble(fact.name, fact.kind, fact.targets, fact.t, fact.t))
             continue
-        _end(found, fact)
-        if isinstance(fact, FaultBegan) and fact.kind not in CURES:
+        _end_fault(found, fact)
+        if isinstance(fact, FaultBegan) and fact.kind not in RECOVERY_KINDS:
             found.append(results.Trouble(fact.name, fact.kind, fact.targets, fact.t, None))
     return found
 
 
-def _end(found: list[results.Trouble], fact: FaultBegan | FaultEnded) -> None:
-    """The latest that is still open: entries may share a name, then the targets tell them apart."""
+def _end_fault(found: list[results.Trouble], fact: FaultBegan | FaultEnded) -> None:
+    """Ends the latest fault that is still open. Entries may share a name, so the targets are compared too."""
     for i in range(len(found) - 1, -1, -1):
         one = found[i]
         if one.end is None and (one.name, one.targets) == (fact.name, fact.targets):
@@ -293,7 +295,8 @@
 
 
 def machine() -> results.Machine:
-    """Cores this process may use, the processor's name and the memory; nothing that names the machine."""
+    """Returns the cores this process may use, the processor's name and the memory; nothing that identifies the
+    machine."""
     model = ""
     try:
         for line in Path("/proc/cpuinfo").read_text().splitlines():
--- a/slatelab/experiments/sweep.py
+++ b/slatelab/experiments/sweep.py
@@ -1,5 +1,5 @@
-"""A grid of parameters, each cell with the same seeds. It owns the order of the cells, which is that of the
-command line, and the table that comes out. It must never run anything itself."""
+"""A parameter grid, each cell with the same seeds. This module defines the order of the cells, which is that of the
+command line, and the resulting table. It runs nothing itself."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One cell: what was set, how many seeds gave a result, and mean and interval of each figure over these.
+    """One cell: its settings, the number of seeds with a result, and mean and interval of each figure over these seeds.
     `spoiled`: "seed: reason" of the others."""
 
     settings: dict[str, Any]
@@ -31,7 +31,7 @@
 
 
 class Table(msgspec.Struct, frozen=True):
-    """A whole sweep; `runs` holds each run's summary, cell by cell and seed by seed."""
+    """A whole sweep; `runs` holds the summary of each run by cell and seed."""
 
     scenario: str
     engine: str
@@ -42,12 +42,12 @@
 
 
 def cells(vary: Sequence[tuple[str, Sequence[Any]]]) -> list[tuple[Setting, ...]]:
-    """All combinations, the last parameter changing fastest; one empty cell where nothing varies."""
+    """Returns all combinations, the last parameter changing fastest; one empty cell if nothing varies."""
     return list(itertools.product(*([(key, value) for value in values] for key, values in vary)))
 
 
 def jobs(base: Job, vary: Sequence[tuple[str, Sequence[Any]]], seeds: Sequence[int]) -> list[Job]:
-    """Cell by cell, in each the seeds in order."""
+    """Returns the jobs cell by cell, with the seeds of each cell in order."""
     from dataclasses import replace
 
     return [
@@ -58,43 +58,51 @@
 def table(
     base: Job, vary: Sequence[tuple[str, Sequence[Any]]], seeds: Sequence[int], outcomes: Sequence[Outcome]
 ) -> Table:
-    """Of the outcomes of `jobs`, in that order."""
-    each = [outcomes[i : i + len(seeds)] for i in range(0, len(outcomes), len(seeds))]
-    rows = [_row(cell, seeds, ended) for cell, ended in zip(cells(vary), each, strict=True)]
-    runs = [[one if isinstance(one, Summary) else None for one in ended] for ended in each]
-    name = next((one.scenario for ended in runs for one in ended if one), base.file.stem)
+    """Builds the table from the outcomes of `jobs`, given in that order."""
+    by_cell = [outcomes[i : i + len(seeds)] for i in range(0, len(outcomes), len(seeds))]
+    rows = [
+        _row(cell, seeds, cell_outcomes) for cell, cell_outcomes in zip(cells(vary), by_cell, strict=True)
+    ]
+    runs = [[one if isinstance(one, Summary) else None for one in cell_outcomes] for cell_outcomes in by_cell]
+    name = next((one.scenario for cell_outcomes in runs for one in cell_outcomes if one), base.file.stem)
     return Table(name, base.engine, list(seeds), {key: list(values) for key, values in vary}, rows, runs)
 
 
-def _row(cell: Sequence[Setting], seeds: Sequence[int], ended: Sequence[Outcome]) -> Row:
-    good = [(seed, one) for seed, one in zip(seeds, ended, strict=True) if isinstance(one, Summary)]
+def _row(cell: Sequence[Setting], seeds: Sequence[int], cell_outcomes: Sequence[Outcome]) -> Row:
+    completed = [
+        (seed, one) for seed, one in zip(seeds, cell_outcomes, strict=True) if isinstance(one, Summary)
+    ]
     spoiled = [
-        f"{seed}: {one.reason}" for seed, one in zip(seeds, ended, strict=True) if isinstance(one, FailedRun)
+        f"{seed}: {one.reason}"
+        for seed, one in zip(seeds, cell_outcomes, strict=True)
+        if isinstance(one, FailedRun)
     ]
     broken = [
         f"{seed}: {one.first[0] if one.first else 'a rule was broken'}"
-        for seed, one in good
+        for seed, one in completed
         if one.violations
     ]
     figures = {}
     for figure in FIGURES:
-        values = [one.scalar(figure.key) for _, one in good]
+        values = [one.scalar(figure.key) for _, one in completed]
         figures[figure.key] = confidence_interval([value for value in values if value is not None])
-    return Row(dict(cell), len(good), sum(one.violations for _, one in good), broken, spoiled, figures)
+    return Row(
+        dict(cell), len(completed), sum(one.violations for _, one in completed), broken, spoiled, figures
+    )
 
 
 def as_csv(whole: Table) -> str:
-    """One line a cell: the parameters, then each figure's mean and the ends of its interval; empty where
-    there is none."""
+    """Returns one line per cell: the parameters, then mean and interval ends of each figure, empty if there are
+    none."""
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     ends = [f"{figure.key}{end}" for figure in FIGURES for end in ("", "_low", "_high")]
     writer.writerow([*whole.vary, "seeds", "violations", *ends])
     for row in whole.rows:
-        numbers = [x for figure in FIGURES for x in _three(row.figures[figure.key])]
+        numbers = [x for figure in FIGURES for x in _interval_columns(row.figures[figure.key])]
         writer.writerow([*row.settings.values(), row.seeds, row.violations, *numbers])
     return out.getvalue()
 
 
-def _three(of: Interval) -> list[str]:
+def _interval_columns(of: Interval) -> list[str]:
     return [f"{x:.6g}" for x in (of.mean, of.low, of.high)] if of.n else ["", "", ""]
