--- a/slatelab/cli/check.py
+++ b/slatelab/cli/check.py
@@ -1,5 +1,4 @@
-"""`check`: whether scenario files can be read and carried. It owns the command's options and what it
-prints."""
+"""The command `check`: checks that scenario files can be read and run. This module defines its options and output."""
 
 from __future__ import annotations
 
@@ -21,11 +20,11 @@
 )
 def command(files: tuple[Path, ...], settings: tuple[tuple[str, object], ...]) -> None:
     """Read each FILE and say all that is wrong with it: file, key and reason."""
-    wrong: list[str] = []
+    errors: list[str] = []
     for file in files:
         try:
             click.echo(f"{file}: well: {load_scenario(Job(file, overrides=settings)).scenario.name}")
-        except ScenarioError as problem:
-            wrong += problem.lines
-    if wrong:
-        raise Stop(UNREADABLE, wrong)
+        except ScenarioError as error:
+            errors += error.lines
+    if errors:
+        raise Stop(UNREADABLE, errors)
--- a/slatelab/cli/compare.py
+++ b/slatelab/cli/compare.py
@@ -1,5 +1,5 @@
-"""`compare`: two slatehubs, or two settings, on the same days. It owns the command's options and what it
-prints and writes: broken rules come before any figure."""
+"""The command `compare`: compares two versions of slatehub, or two settings, with the same seeds. This module defines
+its options and output. Broken rules are printed before any figure."""
 
 from __future__ import annotations
 
@@ -54,26 +54,28 @@
         file, engine, None, settings, results_folder=str(results.results_directory(out)) if keep else ""
     )
     with tempfile.TemporaryDirectory(prefix="slatelab-") as scratch:
-        a = _sided(base, a_name, a_set, Path(scratch))
-        b = _sided(base, b_name, b_set, Path(scratch))
-        whole = _play(base, (_called(a_name, a_set), _called(b_name, b_set)), (a, b), seeds, jobs, quiet, out)
-    if whole.violations:
+        a = _job_of_side(base, a_name, a_set, Path(scratch))
+        b = _job_of_side(base, b_name, b_set, Path(scratch))
+        comparison = _run_and_print(
+            base, (_side_title(a_name, a_set), _side_title(b_name, b_set)), (a, b), seeds, jobs, quiet, out
+        )
+    if comparison.violations:
         raise Stop(BROKEN, ["rules were broken, see above"])
-    if whole.spoiled:
+    if comparison.spoiled:
         raise Stop(UNTRUSTED, ["runs gave no result, and their pairs were left out, see above"])
 
 
-def _sided(base: Job, name: str, settings: Settings, scratch: Path) -> Job:
+def _job_of_side(base: Job, name: str, settings: Settings, scratch: Path) -> Job:
     job = batch.with_side(replace(base, overrides=(*base.overrides, *settings)), name, scratch)
     load_scenario(job)
     return job
 
 
-def _called(name: str, settings: Settings) -> str:
+def _side_title(name: str, settings: Settings) -> str:
     return " ".join([name, *(f"{key}={value}" for key, value in settings)])
 
 
-def _play(
+def _run_and_print(
     base: Job,
     names: tuple[str, str],
     sides: tuple[Job, Job],
@@ -82,30 +84,34 @@
     quiet: bool,
     out: str | None,
 ) -> compare.Comparison:
-    plan = compare.jobs(*sides, seeds)
-    where, name = (
+    planned_jobs = compare.jobs(*sides, seeds)
+    folder, name = (
         results.results_directory(out),
-        f"{results.utc_timestamp()}-{load_scenario(plan[0]).scenario.name}-{base.engine}-compare",
+        f"{results.utc_timestamp()}-{load_scenario(planned_jobs[0]).scenario.name}-{base.engine}-compare",
     )
-    with results.new_result_folder(where, name) as draft:
-        with formatting.bar("runs", len(plan), quiet) as move:
-            ended = batch.run_all(plan, workers(base.engine, jobs), lambda i, one: move())
-        whole = compare.compare(*names, base, seeds, ended)
-        with results.convert_write_errors(where):
-            draft.add("compare.json", msgspec.json.format(msgspec.json.encode(whole), indent=1) + b"\n")
-    _print(whole, draft.final_path)
-    return whole
-
-
-def _print(whole: compare.Comparison, place: Path) -> None:
-    formatting.say([f"RULES BROKEN by {line}" for line in whole.violations])
-    formatting.say([f"no result: {line}" for line in whole.spoiled])
-    formatting.console().print(formatting.comparison(whole))
-    if len(whole.seeds) < MIN_PAIRS:
+    with results.new_result_folder(folder, name) as draft:
+        with formatting.bar("runs", len(planned_jobs), quiet) as advance:
+            outcomes = batch.run_all(planned_jobs, workers(base.engine, jobs), lambda i, one: advance())
+        comparison = compare.compare(*names, base, seeds, outcomes)
+        with results.convert_write_errors(folder):
+            draft.add("compare.json", msgspec.json.format(msgspec.json.encode(comparison), indent=1) + b"\n")
+    _print(comparison, draft.final_path)
+    return comparison
+
+
+def _print(comparison: compare.Comparison, path: Path) -> None:
+    formatting.say([f"RULES BROKEN by {line}" for line in comparison.violations])
+    formatting.say([f"no result: {line}" for line in comparison.spoiled])
+    formatting.console().print(formatting.comparison(comparison))
+    if len(comparison.seeds) < MIN_PAIRS:
         formatting.say([f"nothing is claimed of fewer than {MIN_PAIRS} seeds"])
-    if whole.same:
-        formatting.say([f"{whole.same} of {len(whole.seeds)} pairs are the same to the last byte"])
+    if comparison.same:
+        formatting.say([f"{comparison.same} of {len(comparison.seeds)} pairs are the same to the last byte"])
     formatting.say(
-        [f"goodput: b is {whole.verdict}" if whole.verdict != "cannot tell" else "goodput: cannot tell"]
+        [
+            f"goodput: b is {comparison.verdict}"
+            if comparison.verdict != "cannot tell"
+            else "goodput: cannot tell"
+        ]
     )
-    formatting.say([f"table {place}"])
+    formatting.say([f"table {path}"])
--- a/slatelab/cli/formatting.py
+++ b/slatelab/cli/formatting.py
@@ -1,4 +1,4 @@
-"""Results in words and tables for a terminal. It owns their layout. It must never run or read anything."""
+"""Formats results as text and tables for a terminal. This module neither runs nor reads anything."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from slatelab.experiments.compare import Comparison
     from slatelab.experiments.sweep import Table as Sweep
 
-WIDE = 200  # columns where there is no terminal: nothing is folded in a file
+DEFAULT_WIDTH = 200  # columns if the output is not a terminal, so that nothing is folded in a file
 COLOURS = {"better": "green", "worse": "red", "cannot tell": "default"}
 
 
 def console() -> Console:
     from rich.console import Console
 
-    width = None if sys.stdout.isatty() else WIDE
+    width = None if sys.stdout.isatty() else DEFAULT_WIDTH
     return Console(file=sys.stdout, width=width, highlight=False, markup=False, emoji=False)
 
 
@@ -41,7 +41,7 @@
 
 
 def summary(one: Summary, tested: str) -> list[str]:
-    """A run in a few lines."""
+    """Returns the lines that describe a run."""
     quantiles = "  ".join(f"{key} {ms(value)}" for key, value in one.latency_ms.items())
     lines = [
         f"{one.scenario}, engine {one.engine}, seed {one.seed}, slatehub {tested[:12]}",
@@ -63,7 +63,7 @@
 
 
 def sweep(whole: Sweep) -> Table:
-    """A row for each cell: mean, and the interval below it."""
+    """Returns a table with a row for each cell: the means, and the intervals below them."""
     from rich.table import Table
 
     table = Table(
@@ -71,26 +71,26 @@
     )
     for key in whole.vary:
         table.add_column(key)
-    for title in ("seeds", "broken", *(titled(figure) for figure in FIGURES)):
+    for title in ("seeds", "broken", *(figure_title(figure) for figure in FIGURES)):
         table.add_column(title, justify="right")
     for row in whole.rows:
-        cells = [between(figure, row.figures[figure.key]) for figure in FIGURES]
+        cells = [format_interval(figure, row.figures[figure.key]) for figure in FIGURES]
         table.add_row(*map(str, row.settings.values()), str(row.seeds), str(row.violations), *cells)
     return table
 
 
-def titled(figure: Figure) -> str:
+def figure_title(figure: Figure) -> str:
     return f"{figure.title} ({figure.unit})" if figure.unit else figure.title
 
 
-def between(figure: Figure, of: Interval, sign: bool = False) -> str:
-    if not of.n:
+def format_interval(figure: Figure, ci: Interval, sign: bool = False) -> str:
+    if not ci.n:
         return "-"
-    return f"{figure.format(of.mean, sign)}\n{figure.format(of.low, sign)} to {figure.format(of.high, sign)}"
+    return f"{figure.format(ci.mean, sign)}\n{figure.format(ci.low, sign)} to {figure.format(ci.high, sign)}"
 
 
 def comparison(whole: Comparison) -> Table:
-    """A row for each figure."""
+    """Returns a table with a row for each figure."""
     from rich.table import Table
     from rich.text import Text
 
@@ -101,18 +101,23 @@
         table.add_column(column, justify="right")
     table.add_column("b is")
     for figure, line in zip(FIGURES, whole.lines, strict=True):
-        of = line.difference
-        ends = f"{figure.format(of.low, True)} to {figure.format(of.high, True)}" if of.n else "-"
+        interval = line.difference
+        ends = (
+            f"{figure.format(interval.low, True)} to {figure.format(interval.high, True)}"
+            if interval.n
+            else "-"
+        )
         table.add_row(
-            titled(figure), figure.format(line.a), figure.format(line.b), figure.format(of.mean, True), ends,
-            Text(line.verdict, style=COLOURS[line.verdict]),
+            figure_title(figure), figure.format(line.a), figure.format(line.b), figure.format(interval.mean, True),
+            ends, Text(line.verdict, style=COLOURS[line.verdict]),
         )  # fmt: skip
     return table
 
 
 @contextmanager
 def bar(title: str, total: int, quiet: bool) -> Iterator[Callable[[], None]]:
-    """A progress bar on standard error, to be moved on by one; nothing where that is no terminal."""
+    """Shows a progress bar on standard error and yields the function that advances it by one. Nothing is shown if
+    standard error is not a terminal."""
     if quiet or not sys.stderr.isatty():
         yield lambda: None
         return
--- a/slatelab/cli/group.py
+++ b/slatelab/cli/group.py
@@ -1,8 +1,8 @@
-"""The group of all commands: which there are, and the exit code of each way to fail. It owns these two and
-the signals. It must never do a command's work, and loads a command's module only when that command is called.
+"""The group of all commands. This module lists the commands and defines the exit code of each failure and the handling
+of signals. It loads a command's module only when that command is called.
 
-0: well.  1: a rule was broken.  2: what was given cannot be read or run.  3: a run cannot be trusted, or its
-result not written.  130: interrupted, after putting everything away."""
+Exit codes: 0: success. 1: a rule was broken. 2: the input cannot be read or run. 3: a run cannot be trusted, or its
+result cannot be written. 130: interrupted, after cleaning up."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from slatelab.results import ResultReadError, ResultWriteError
 from slatelab.scenario import ScenarioError
 
-# Name and module: a new command needs a line here and nothing else.
+# Name and module of each command.
 COMMANDS = {
     "run": "slatelab.cli.run",
     "sweep": "slatelab.cli.sweep",
@@ -33,11 +33,11 @@
 
 
 class Stop(click.ClickException):
-    """Ends the program with a code, each line on standard error."""
+    """Ends the program with an exit code and prints each line on standard error."""
 
     def __init__(self, code: int, lines: Sequence[str]) -> None:
         super().__init__("\n".join(lines))
-        self.exit_code = code  # type: ignore[misc]  # of the class, says click; it is read from here
+        self.exit_code = code  # type: ignore[misc]  # click declares it on the class, but reads it from the instance
 
     def show(self, file: Any = None) -> None:
         for line in self.message.splitlines():
@@ -45,7 +45,7 @@
 
 
 class Commands(click.Group):
-    """Loads commands when asked for them, and turns expected failures into exit codes."""
+    """Loads commands on demand and turns expected failures into exit codes."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -61,18 +61,18 @@
 
         try:
             return super().invoke(ctx)
-        except ScenarioError as problem:
-            raise Stop(UNREADABLE, problem.lines) from None
-        except (UnknownSideError, ResultReadError) as problem:
-            raise Stop(UNREADABLE, [str(problem)]) from None
-        except (InvalidRunError, ResultWriteError) as problem:
-            raise Stop(UNTRUSTED, [str(problem)]) from None
+        except ScenarioError as error:
+            raise Stop(UNREADABLE, error.lines) from None
+        except (UnknownSideError, ResultReadError) as error:
+            raise Stop(UNREADABLE, [str(error)]) from None
+        except (InvalidRunError, ResultWriteError) as error:
+            raise Stop(UNTRUSTED, [str(error)]) from None
         except KeyboardInterrupt:
             raise Stop(INTERRUPTED, ["interrupted"]) from None
         except (click.ClickException, click.exceptions.Exit, click.Abort, BrokenPipeError):
             raise
         except Exception:
-            # Python's own code for an uncaught exception is 1, which here says that a rule was broken.
+            # Python exits with 1 after an uncaught exception, which would mean here that a rule was broken.
             traceback.print_exc()
             raise Stop(UNTRUSTED, ["a fault of the lab itself, see above"]) from None
 
@@ -86,10 +86,10 @@
 
 
 def main() -> None:
-    signal.signal(signal.SIGTERM, _terminated)
+    signal.signal(signal.SIGTERM, _on_sigterm)
     group(prog_name="slatelab")
 
 
-def _terminated(number: int, frame: Any) -> None:
-    """As Ctrl-C: what was started must end with us."""
+def _on_sigterm(number: int, frame: Any) -> None:
+    """Handles SIGTERM like Ctrl-C, so that all started processes end too."""
     raise KeyboardInterrupt
--- a/slatelab/cli/listing.py
+++ b/slatelab/cli/listing.py
@@ -1,4 +1,4 @@
-"""`list`: the whole results in a folder. It owns what it prints."""
+"""The command `list`: lists the complete results in a folder. This module defines its output."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """List the results, the oldest first. Whatever is not whole is skipped with a line."""
     from rich.table import Table
 
-    good, skipped = results.load_all(results.results_directory(out))
+    complete, skipped = results.load_all(results.results_directory(out))
     table = Table(show_edge=False)
     for title, justify in (
         ("result", "left"),
@@ -28,9 +28,9 @@
         ("rules broken", "right"),
     ):
         table.add_column(title, justify=justify, overflow="fold")  # type: ignore[arg-type]
-    for folder, one in good:
+    for folder, one in complete:
         table.add_row(*_row(folder, one))
-    if good:
+    if complete:
         formatting.console().print(table)
     for line in skipped:
         click.echo(line, err=True)
--- a/slatelab/cli/options.py
+++ b/slatelab/cli/options.py
@@ -1,5 +1,5 @@
-"""What several commands take: scenario, engine, seeds, settings, places. It owns how these are written on the
-command line. It must never open anything."""
+"""Options shared by several commands: scenario, engine, seeds, settings, folders. This module defines how they are
+written on the command line. It opens no files."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from slatelab.experiments.run import ENGINES
 
 F = TypeVar("F", bound=Callable[..., Any])
-LONGEST = 200  # characters of one value
-MOST_SEEDS = 1000
-MOST_VALUES = 100
+MAX_VALUE_CHARS = 200
+MAX_SEEDS = 1000
+MAX_VALUES = 100
 
 
-def value(text: str) -> Any:
-    """As TOML reads it, or the text itself: `3`, `0.5`, `true`, `["a"]`, `80/s`, `250 ms`."""
-    if len(text) > LONGEST:
-        raise click.BadParameter(f"longer than {LONGEST} characters")
+def parse_value(text: str) -> Any:
+    """Parses a value as TOML, or returns the text itself: `3`, `0.5`, `true`, `["a"]`, `80/s`, `250 ms`."""
+    if len(text) > MAX_VALUE_CHARS:
+        raise click.BadParameter(f"longer than {MAX_VALUE_CHARS} characters")
     try:
         tree = tomllib.loads(f"v = {text}")
     except tomllib.TOMLDecodeError:
@@ -38,7 +38,7 @@
         key, equals, text = str(raw).partition("=")
         if not key.strip() or not equals:
             self.fail(f"{raw!r} is not of the form key=value", param, ctx)
-        return key.strip(), value(text.strip())
+        return key.strip(), parse_value(text.strip())
 
 
 class Vary(click.ParamType[tuple[str, list[Any]]]):
@@ -52,15 +52,15 @@
         key, equals, text = str(raw).partition("=")
         if not key.strip() or not equals or not text.strip():
             self.fail(f"{raw!r} is not of the form key=v1,v2", param, ctx)
-        values = _values(text)
-        if len(values) > MOST_VALUES:
-            self.fail(f"{key}: {len(values)} values, {MOST_VALUES} at most", param, ctx)
+        values = _parse_values(text)
+        if len(values) > MAX_VALUES:
+            self.fail(f"{key}: {len(values)} values, {MAX_VALUES} at most", param, ctx)
         return key.strip(), values
 
 
-def _values(text: str) -> list[Any]:
-    whole = value(f"[{text}]") if len(text) < LONGEST - 2 else text
-    return whole if isinstance(whole, list) else [value(part.strip()) for part in text.split(",")]
+def _parse_values(text: str) -> list[Any]:
+    parsed = parse_value(f"[{text}]") if len(text) < MAX_VALUE_CHARS - 2 else text
+    return parsed if isinstance(parsed, list) else [parse_value(part.strip()) for part in text.split(",")]
 
 
 class Seeds(click.ParamType[list[int]]):
@@ -72,27 +72,27 @@
         if isinstance(raw, list):
             return raw
         try:
-            found = [seed for part in str(raw).split(",") for seed in _span(part)]
-        except ValueError as problem:
-            self.fail(f"{raw!r}: {problem}; write 1-10 or 1,4,9-12", param, ctx)
-        if len(found) > MOST_SEEDS:
-            self.fail(f"{len(found)} seeds, {MOST_SEEDS} at most", param, ctx)
-        return list(dict.fromkeys(found))
+            seeds = [seed for part in str(raw).split(",") for seed in _parse_range(part)]
+        except ValueError as error:
+            self.fail(f"{raw!r}: {error}; write 1-10 or 1,4,9-12", param, ctx)
+        if len(seeds) > MAX_SEEDS:
+            self.fail(f"{len(seeds)} seeds, {MAX_SEEDS} at most", param, ctx)
+        return list(dict.fromkeys(seeds))
 
 
-def _span(part: str) -> range:
+def _parse_range(part: str) -> range:
     first, dash, last = part.strip().partition("-")
     low = int(first)
     high = int(last) if dash else low
     if not 0 <= low <= high <= 2**53:
         raise ValueError("not a rising range of seeds")
-    if high - low >= MOST_SEEDS:
-        raise ValueError(f"{high - low + 1} seeds, {MOST_SEEDS} at most")
+    if high - low >= MAX_SEEDS:
+        raise ValueError(f"{high - low + 1} seeds, {MAX_SEEDS} at most")
     return range(low, high + 1)
 
 
 def scenario(command: F) -> F:
-    """FILE, --engine, --set and --out."""
+    """Adds FILE, --engine, --set and --out."""
     for add in (
         click.option(
             "--out", metavar="DIR", help="Folder for results (else $SLATELAB_RESULTS, else ./results)."
@@ -108,7 +108,7 @@
 
 
 def batch(command: F) -> F:
-    """--seeds, --jobs, --keep and --quiet."""
+    """Adds --seeds, --jobs, --keep and --quiet."""
     for add in (
         click.option("--quiet", is_flag=True, help="No progress bar."),
         click.option("--keep", is_flag=True, help="Keep the result of every single run too."),
--- a/slatelab/cli/report.py
+++ b/slatelab/cli/report.py
@@ -1,4 +1,4 @@
-"""`report`: the page and the pictures of one result or two. It owns the command's options."""
+"""The command `report`: writes the page and the plots of one or two results. This module defines its options."""
 
 from __future__ import annotations
 
@@ -19,6 +19,6 @@
     from slatelab.report.page import write_report
 
     name = "report" if len(folders) == 1 else f"report-{folders[0].resolve().name}"
-    where = out or folders[-1] / name
+    target = out or folders[-1] / name
     loaded = [(folder, results.load(folder)) for folder in folders]
-    click.echo(write_report(loaded, where).resolve())
+    click.echo(write_report(loaded, target).resolve())
--- a/slatelab/cli/run.py
+++ b/slatelab/cli/run.py
@@ -1,4 +1,4 @@
-"""`run`: one scenario once. It owns the command's options and what it prints."""
+"""The command `run`: runs one scenario once. This module defines its options and output."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 @click.option("--quiet", is_flag=True, help="Print nothing but what goes wrong.")
 @click.option("--table", is_flag=True, help="Show the run under way: a live table, or a line a second.")
 @click.option("--drop", is_flag=True, help="Keep no result.")
-@click.option("--tested", default=revisions.WORKING_TREE, hidden=True)  # what the parent put on our path
+@click.option("--tested", default=revisions.WORKING_TREE, hidden=True)  # what the parent put on PYTHONPATH
 @click.pass_context
 def command(
     ctx: click.Context,
@@ -54,8 +54,8 @@
         if tree or rev:
             job = batch.with_side(job, tree or rev or "", Path(scratch))
         if job.python_path:
-            ctx.exit(_child(job, json_file, quiet, table))
-        one = _watched(job, quiet, table)
+            ctx.exit(_run_in_child(job, json_file, quiet, table))
+        one = _run_with_progress(job, quiet, table)
     if json_file:
         write_json(json_file, one)
     if not quiet:
@@ -68,29 +68,29 @@
         ctx.exit(BROKEN)
 
 
-def _child(job: Job, json_file: Path | None, quiet: bool, table: bool) -> int:
-    """The same command in a process whose path holds the other slatehub first."""
+def _run_in_child(job: Job, json_file: Path | None, quiet: bool, table: bool) -> int:
+    """Runs the same command in a process whose path holds the other slatehub first. Returns its exit code."""
     more = [*(["--json", str(json_file)] if json_file else []), *(["--quiet"] if quiet else [])]
     more += ["--table"] if table else []
     more += ["--out", job.results_folder] if job.results_folder else ["--drop"]
-    line, env = batch.child_command(job, *more), batch.child_environment(job)
-    with subprocess.Popen(line, env=env, stdin=subprocess.DEVNULL, process_group=0) as child:
+    arguments, env = batch.child_command(job, *more), batch.child_environment(job)
+    with subprocess.Popen(arguments, env=env, stdin=subprocess.DEVNULL, process_group=0) as child:
         return batch.wait_for_child(child)
 
 
-def _watched(job: Job, quiet: bool, table: bool) -> Summary:
+def _run_with_progress(job: Job, quiet: bool, table: bool) -> Summary:
     if quiet or not (table or sys.stderr.isatty()):
         return run(job)
     from slatelab.report.progress import progress_display
 
-    with progress_display(f"{job.file.stem}, {job.engine}", brief=not table) as watch:
-        return run(job, watch)
+    with progress_display(f"{job.file.stem}, {job.engine}", brief=not table) as progress:
+        return run(job, progress)
 
 
 def write_json(path: Path, one: Summary) -> None:
-    """Whole or not at all."""
+    """Writes the summary completely or not at all."""
     data = msgspec.json.format(msgspec.json.encode(one), indent=1) + b"\n"
     with results.convert_write_errors(path.parent):
-        aside = path.with_name(f"{path.name}.part")
-        aside.write_bytes(data)
-        aside.replace(path)
+        temporary = path.with_name(f"{path.name}.part")
+        temporary.write_bytes(data)
+        temporary.replace(path)
--- a/slatelab/cli/show.py
+++ b/slatelab/cli/show.py
@@ -1,4 +1,4 @@
-"""`show`: one result in words. It owns what it prints."""
+"""The command `show`: prints one result as text. This module defines its output."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     formatting.say(formatting.summary(summarise(one, load_figures(one, folder)), one.tested))
     for complaint in one.ruling.first:
         formatting.say(["", *complaint.history.splitlines()])
-    formatting.say(["", *about(one)])
+    formatting.say(["", *provenance(one)])
 
 
-def about(one: results.Result) -> list[str]:
-    """How the result came to be."""
+def provenance(one: results.Result) -> list[str]:
+    """Returns lines on how the result was made."""
     dirty = " with changes" if one.versions.dirty else ""
     lines = [
         f"made {one.made} in {one.wall_s:.1f} s, {one.events} events",
