--- a/slatelab/report/__init__.py
+++ b/slatelab/report/__init__.py
@@ -1,2 +1,2 @@
-"""Reports: the table shown during a run, the pictures and the page after it. They read results and nothing
-else, and must never run or judge anything."""
+"""Reports: the progress table during a run, and the plots and the page after it. They read only results, and neither
+run nor judge anything."""
--- a/slatelab/report/page.py
+++ b/slatelab/report/page.py
@@ -1,6 +1,6 @@
-"""The page of a report: one HTML file with its pictures inside, and the same pictures as PNG files beside it.
-It owns what stands where, and the bounds on how much. It must never judge anew, nor point to anything outside
-the page."""
+"""The page of a report: one HTML file with embedded plots, and the same plots as PNG files beside it. This module
+defines the layout and bounds the size of the page. The page repeats the verdict of the result and refers to nothing
+outside itself."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from slatelab.figures import Figures
 
 MAX_EVENTS = 300  # lines of the timeline
-LONGEST_SET = 40  # letters of the changes in a title
-TARGETS = 12  # named in one of them
-NAMES = ("A", "B")
+MAX_CHANGES_CHARS = 40  # of the changed settings in a title
+MAX_TARGETS = 12  # targets listed in one line of the timeline
+SIDE_NAMES = ("A", "B")
 
 
 @dataclass(frozen=True, slots=True)
 class Side:
-    """A result ready for the page; `name` and `title` are "" where there is only one."""
+    """A result prepared for the page; `name` and `title` are "" if there is only one."""
 
     name: str
     title: str
@@ -48,36 +48,41 @@
     fault: bool
 
 
-def write_report(loaded: Sequence[tuple[Path, Result]], where: Path) -> Path:
+def write_report(loaded: Sequence[tuple[Path, Result]], target: Path) -> Path:
     """Writes index.html and the PNG files into a folder, and returns the page's path. One result or two.
     Raises results.ResultReadError and results.ResultWriteError."""
     sides = _sides(loaded)
-    with results.convert_write_errors(where):
-        where.mkdir(parents=True, exist_ok=True)
+    with results.convert_write_errors(target):
+        target.mkdir(parents=True, exist_ok=True)
     pictures = _pictures(sides)
-    with results.convert_write_errors(where):
+    with results.convert_write_errors(target):
         for name, (_, data) in pictures.items():
-            (where / f"{name}.png").write_bytes(data)
-        (where / "index.html").write_text(html(sides, pictures), encoding="utf-8")
-    return where / "index.html"
+            (target / f"{name}.png").write_bytes(data)
+        (target / "index.html").write_text(html(sides, pictures), encoding="utf-8")
+    return target / "index.html"
 
 
 def _sides(loaded: Sequence[tuple[Path, Result]]) -> list[Side]:
-    """Two are told apart by all in which they differ."""
-    marks = [(one.scenario, one.engine, f"seed {one.seed}", one.tested[:12], _set(one)) for _, one in loaded]
-    differ = [len(set(column)) > 1 for column in zip(*marks, strict=True)]
+    """Prepares the results. The titles of two results list everything in which they differ."""
+    traits = [
+        (one.scenario, one.engine, f"seed {one.seed}", one.tested[:12], _changes_text(one))
+        for _, one in loaded
+    ]
+    differ = [len(set(column)) > 1 for column in zip(*traits, strict=True)]
     sides = []
     for i, (folder, one) in enumerate(loaded):
-        name = NAMES[i] if len(loaded) > 1 else ""
-        title = ", ".join([name, *(mark for mark, yes in zip(marks[i], differ, strict=True) if yes and mark)])
+        name = SIDE_NAMES[i] if len(loaded) > 1 else ""
+        title = ", ".join(
+            [name, *(trait for trait, yes in zip(traits[i], differ, strict=True) if yes and trait)]
+        )
         figures = views.load_figures(one, folder)
         sides.append(Side(name, title, one, figures, summarise(one, figures)))
     return sides
 
 
-def _set(one: Result) -> str:
+def _changes_text(one: Result) -> str:
     text = " ".join(f"{key}={value}" for key, value in one.changes.items())
-    return text if len(text) <= LONGEST_SET else f"{text[:LONGEST_SET]}..."
+    return text if len(text) <= MAX_CHANGES_CHARS else f"{text[:MAX_CHANGES_CHARS]}..."
 
 
 def _pictures(sides: Sequence[Side]) -> dict[str, tuple[str, bytes]]:
@@ -89,14 +94,14 @@
 
 
 def html(sides: Sequence[Side], pictures: dict[str, tuple[str, bytes]]) -> str:
-    """The page as text; everything from a result is escaped."""
+    """Returns the page as text; everything from a result is escaped."""
     import jinja2
 
     loader = jinja2.FileSystemLoader(Path(__file__).parent)
-    world = jinja2.Environment(
+    environment = jinja2.Environment(
         loader=loader, autoescape=True, undefined=jinja2.StrictUndefined, trim_blocks=True, lstrip_blocks=True
     )
-    return world.get_template("page.html").render(
+    return environment.get_template("page.html").render(
         title=" and ".join(dict.fromkeys(side.result.scenario for side in sides)),
         sides=sides,
         numbers=numbers(sides),
@@ -111,10 +116,10 @@
 
 
 def numbers(sides: Sequence[Side]) -> list[tuple[str, list[str], str, str]]:
-    """Title, a value for each side, the difference b - a, and whether that is "better" or "worse" (or "").
-    One run of each says nothing of chance: that is what `compare` is for."""
+    """Returns rows of title, a value for each side, the difference b - a, and whether it is "better" or "worse" (or
+    ""). A single run of each side says nothing about chance; the command `compare` does."""
     rows = [_row(sides, figure.key, _title(figure), figure) for figure in FIGURES]
-    return [*rows, *_more(sides)]
+    return [*rows, *_extra_rows(sides)]
 
 
 def _title(figure: Any) -> str:
@@ -126,19 +131,19 @@
     shown = [figure.format(value) for value in values]
     if len(values) < 2 or values[0] is None or values[1] is None:
         return title, shown, "", ""
-    by = values[1] - values[0]
-    sense = (
+    delta = values[1] - values[0]
+    direction = (
         ""
-        if figure.format(abs(by)) == figure.format(0.0)
+        if figure.format(abs(delta)) == figure.format(0.0)
         else "better"
-        if (by > 0) == figure.higher_is_better
+        if (delta > 0) == figure.higher_is_better
         else "worse"
     )
-    return title, shown, figure.format(by, True), sense
+    return title, shown, figure.format(delta, True), direction
 
 
-def _more(sides: Sequence[Side]) -> list[tuple[str, list[str], str, str]]:
-    """What has no better and worse, or is too coarse for a difference."""
+def _extra_rows(sides: Sequence[Side]) -> list[tuple[str, list[str], str, str]]:
+    """Returns rows of figures that are neither better nor worse, or too coarse for a difference."""
     of = [side.figures for side in sides]
     rows = {
         "orders counted": [str(one.requests) for one in of],
@@ -177,8 +182,8 @@
 
 
 def timeline(result: Result) -> tuple[list[Event], int]:
-    """Faults and the proxies' log lines in order of time, at most MAX_EVENTS, the faults before the lines where
-    not all have room; and how many there were in all."""
+    """Returns the faults and the proxies' log lines in order of time, and the number of all. At most MAX_EVENTS are
+    returned; faults take precedence over log lines."""
     faults = [event for trouble in result.troubles for event in _edges(trouble)]
     lines = [
         Event(one.t / 1e6, one.proxy, f"{one.level} {one.topic}".strip(), one.text, False)
@@ -189,8 +194,8 @@
 
 
 def _edges(trouble: results.Trouble) -> Iterator[Event]:
-    targets = ", ".join(trouble.targets[:TARGETS])
-    if (more := len(trouble.targets) - TARGETS) > 0:
+    targets = ", ".join(trouble.targets[:MAX_TARGETS])
+    if (more := len(trouble.targets) - MAX_TARGETS) > 0:
         targets += f" and {more} more"
     yield Event(trouble.begin / 1e6, trouble.name, trouble.kind, targets, True)
     if trouble.end is not None and trouble.end > trouble.begin:
--- a/slatelab/report/plots.py
+++ b/slatelab/report/plots.py
@@ -1,5 +1,6 @@
-"""The pictures of a report: PNG bytes from views. It owns their colours (Okabe and Ito's, told apart by the
-colour-blind; viridis for maps), axes and legends. It must never read a file or open a window."""
+"""The plots of a report: PNG bytes drawn from views. This module defines their colours (Okabe and Ito's palette, which
+colour-blind people can distinguish; viridis for heat maps), axes and legends. It reads no files and opens no
+windows."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from io import BytesIO
 from typing import TYPE_CHECKING, Any
 
-from .view import Series, Spell, View, thin
+from .view import FaultInterval, Series, View, thin
 
 if TYPE_CHECKING:
     from matplotlib.axes import Axes
@@ -26,7 +27,7 @@
     "#222222",
 )
 CLASS_COLOURS = (BLUE, ORANGE, GREEN, PURPLE, SKY, RED, YELLOW)
-SHADE = "#8a8a8a"
+FAULT_SHADE = "#8a8a8a"
 DPI = 110
 STYLE: dict[Any, Any] = {
     "font.size": 10,
@@ -42,10 +43,10 @@
     "legend.frameon": False,
     "figure.facecolor": "white",
 }
-SHARES = (0.0, 0.5, 0.9, 0.99, 0.999, 0.9999, 0.99999)
-HEAT_NODES = 400
-LETTER_IN = 0.075  # the width of a letter of the small labels
-MOST_ATTEMPTS = 20
+PERCENTILE_TICKS = (0.0, 0.5, 0.9, 0.99, 0.999, 0.9999, 0.99999)
+MAX_HEAT_MAP_NODES = 400
+LABEL_CHAR_WIDTH_IN = 0.075  # inches per character of a small label
+MAX_ATTEMPTS = 20
 
 
 @contextmanager
@@ -76,8 +77,10 @@
 
 
 def day(views: Sequence[View], names: Sequence[str]) -> bytes:
-    """Orders a second by how they ended, and goodput, over the time; the faults shaded."""
-    with _figure(3, len(views), 7.6, sharex=True, sharey="row", height_ratios=[_strip(views), 3, 2]) as (
+    """Plots orders per second by outcome, and goodput, over time, with the faults shaded."""
+    with _figure(
+        3, len(views), 7.6, sharex=True, sharey="row", height_ratios=[_schedule_height(views), 3, 2]
+    ) as (
         figure,
         axes,
     ):
@@ -96,31 +99,31 @@
         return _png(figure)
 
 
-def _strip(views: Sequence[View]) -> float:
-    """The height of the fault schedule beside 3 for the rates."""
-    return 0.12 + 0.27 * min(max(len(_lanes(view.spells)) for view in views), 10)
+def _schedule_height(views: Sequence[View]) -> float:
+    """Returns the height of the fault schedule relative to 3 for the rates."""
+    return 0.12 + 0.27 * min(max(len(_lanes(view.faults)) for view in views), 10)
 
 
-def _lanes(spells: Sequence[Spell]) -> list[list[Spell]]:
-    """Rows of spells so that none lies over another, each with room for its label behind it."""
-    lanes: list[list[Spell]] = []
-    for spell in sorted(spells, key=lambda one: one.begin):
+def _lanes(faults: Sequence[FaultInterval]) -> list[list[FaultInterval]]:
+    """Arranges the fault intervals in rows so that none overlaps another, each with room for its label."""
+    lanes: list[list[FaultInterval]] = []
+    for fault in sorted(faults, key=lambda one: one.begin):
         for lane in lanes:
-            if lane[-1].end <= spell.begin and lane[-1].name == spell.name:
-                lane.append(spell)
+            if lane[-1].end <= fault.begin and lane[-1].name == fault.name:
+                lane.append(fault)
                 break
         else:
-            lanes.append([spell])
+            lanes.append([fault])
     return lanes
 
 
 def _schedule(axes: Axes, view: View) -> None:
-    """A bar for each fault, its name on it or beside it."""
-    lanes = _lanes(view.spells)[:10]
+    """Draws a bar for each fault, with its name on it or beside it."""
+    lanes = _lanes(view.faults)[:10]
     for y, lane in enumerate(lanes):
-        for spell in lane:
-            length = max(spell.end - spell.begin, view.duration * 0.004)
-            axes.barh(y, length, left=spell.begin, height=0.7, color=PURPLE, alpha=0.75)
+        for fault in lane:
+            length = max(fault.end - fault.begin, view.duration * 0.004)
+            axes.barh(y, length, left=fault.begin, height=0.7, color=PURPLE, alpha=0.75)
         _label(axes, view, lane, y)
     axes.set_ylim(max(len(lanes), 1) - 0.4, -0.6)
     axes.set_yticks([])
@@ -132,31 +135,31 @@
         axes.text(0, 0, "no faults", va="center", fontsize=8, color="#666666")
 
 
-def _label(axes: Axes, view: View, lane: Sequence[Spell], y: int) -> None:
-    """Before the first bar or behind the last, whichever has room; else over the first."""
-    text = _named(lane)
-    wide = view.duration * len(text) * LETTER_IN * axes.figure.dpi / axes.bbox.width
+def _label(axes: Axes, view: View, lane: Sequence[FaultInterval], y: int) -> None:
+    """Puts the label after the last bar or before the first one if there is room, otherwise over the first one."""
+    text = _lane_title(lane)
+    label_width = view.duration * len(text) * LABEL_CHAR_WIDTH_IN * axes.figure.dpi / axes.bbox.width
     gap = view.duration * 0.006
     x, side, box = lane[0].begin + gap, "left", {"facecolor": "white", "alpha": 0.8, "lw": 0, "pad": 1}
-    if lane[-1].end + wide < view.duration:
+    if lane[-1].end + label_width < view.duration:
         x, box = max(lane[-1].end, lane[-1].begin + view.duration * 0.004) + gap, {}
-    elif lane[0].begin > wide:
+    elif lane[0].begin > label_width:
         x, side, box = lane[0].begin - gap, "right", {}
     axes.text(x, y, text, va="center", ha=side, fontsize=8, color=BLACK, bbox=box or None)
 
 
-def _named(lane: Sequence[Spell]) -> str:
-    kinds = list(dict.fromkeys(spell.kind for spell in lane))
+def _lane_title(lane: Sequence[FaultInterval]) -> str:
+    kinds = list(dict.fromkeys(fault.kind for fault in lane))
     name = lane[0].name
     return (name if len(kinds) == 1 and name.startswith(kinds[0]) else f"{name} ({', '.join(kinds)})")[:48]
 
 
 def _shade(axes: Axes, view: View) -> None:
-    for spell in view.spells:
+    for fault in view.faults:
         axes.axvspan(
-            spell.begin,
-            max(spell.end, spell.begin + view.duration * 0.002),
-            color=SHADE,
+            fault.begin,
+            max(fault.end, fault.begin + view.duration * 0.002),
+            color=FAULT_SHADE,
             alpha=0.18,
             lw=0,
             zorder=0.4,
@@ -174,7 +177,7 @@
 
 
 def _rates(axes: Axes, view: View) -> None:
-    """Stacked; each order stands in the second in which it was wanted first."""
+    """Draws stacked rates; each order counts in the second of its first try."""
     parts = (
         ("served in time", view.served, BLUE),
         ("late", view.late, SKY),
@@ -205,11 +208,10 @@
 
 
 def latency(views: Sequence[View], names: Sequence[str]) -> bytes:
-    """Latency against 1/(1-p) on two log scales, as HdrHistogram's plots have it: the tail takes as much room
-    as the middle. Thin lines are the classes, the thick one all; a cross marks where a class passes its
-    aim."""
+    """Plots latency against 1/(1-p) on two log scales like HdrHistogram's plots, so that the tail takes as much room as
+    the middle. Thin lines are the classes, the thick line is all orders; dashed lines are the classes' aims."""
     with _figure(1, len(views), 4.6, sharex=True, sharey=True) as (figure, axes):
-        most = max(
+        maximum = max(
             (share for view in views for curve in view.curves.values() for share, _ in curve if share < 1),
             default=0.9,
         )
@@ -219,7 +221,7 @@
                 f"{names[i]}: latency of served orders" if names[i] else "Latency of served orders"
             )
             axes[0][i].set_xlabel("percentile")
-            _percentiles(axes[0][i], most)
+            _percentiles(axes[0][i], maximum)
         axes[0][0].set_ylabel("latency (ms)")
         handles, labels = axes[0][0].get_legend_handles_labels()
         figure.legend(handles, labels, loc="outside lower center", ncols=min(len(labels), 5) or 1)
@@ -231,27 +233,27 @@
         points = [(1 / (1 - share), ms) for share, ms in curve if share < 1 and ms > 0]
         if not points:
             continue
-        whole = name == "all"
-        colour = BLACK if whole else CLASS_COLOURS[(i - 1) % len(CLASS_COLOURS)]
+        is_total = name == "all"
+        colour = BLACK if is_total else CLASS_COLOURS[(i - 1) % len(CLASS_COLOURS)]
         axes.plot(
             *zip(*points, strict=True),
             color=colour,
-            lw=2.2 if whole else 1.2,
+            lw=2.2 if is_total else 1.2,
             label=name,
-            zorder=3 if whole else 2,
+            zorder=3 if is_total else 2,
         )
     for aim in sorted(set(view.aims.values())):
         axes.axhline(aim, color=RED, lw=1, ls=(0, (4, 3)), zorder=1)
         axes.annotate("aim", (1.04, aim), xytext=(0, 2), textcoords="offset points", fontsize=8, color=RED)
 
 
-def _percentiles(axes: Axes, most: float) -> None:
+def _percentiles(axes: Axes, maximum: float) -> None:
     from matplotlib.ticker import FixedLocator, FuncFormatter, LogLocator, NullFormatter
 
     axes.set_xscale("log")
     axes.set_yscale("log")
-    axes.set_xlim(1, 1 / (1 - most) * 1.1 if most < 1 else 1e5)
-    shown = [share for share in SHARES if share <= most] or [0.0]
+    axes.set_xlim(1, 1 / (1 - maximum) * 1.1 if maximum < 1 else 1e5)
+    shown = [share for share in PERCENTILE_TICKS if share <= maximum] or [0.0]
     axes.xaxis.set_major_locator(FixedLocator([1 / (1 - share) for share in shown]))
     axes.xaxis.set_major_formatter(FuncFormatter(lambda x, _: f"{(1 - 1 / x) * 100:.6g} %"))
     axes.xaxis.set_minor_locator(FixedLocator([]))
@@ -264,49 +266,51 @@
 
 
 def work(views: Sequence[View], names: Sequence[str]) -> bytes:
-    """Work that came to each node over the time; a scale that ends at twice what a node can do."""
+    """Plots the work sent to each node over time; the scale ends at twice the node's capacity."""
     unit = "work sent to it, of what it can do"
-    return _maps(views, names, [view.work for view in views], "work sent to the nodes", unit, 2.0)
+    return _heat_maps(views, names, [view.work for view in views], "work sent to the nodes", unit, 2.0)
 
 
 def held(views: Sequence[View], names: Sequence[str]) -> bytes:
-    """Attempts that each node held over the time: where they pile up."""
-    return _maps(
+    """Plots the attempts held by each node over time, which shows where they accumulate."""
+    return _heat_maps(
         views, names, [view.held for view in views], "attempts held by the nodes", "attempts held", 1e9
     )
 
 
-def _maps(
+def _heat_maps(
     views: Sequence[View],
     names: Sequence[str],
     loads: Sequence[list[Series]],
     what: str,
     unit: str,
-    most: float,
+    maximum: float,
 ) -> bytes:
-    """A row for each node, one scale for all."""
+    """Draws heat maps with a row for each node and one scale for all."""
     from matplotlib.ticker import MaxNLocator
 
     rows = max(len(view.nodes) for view in views)
     height = min(2.2 + 0.16 * max(rows, 6), 14.0)
-    top = min(max((value for load in loads for row in load for value in row), default=1.0) or 1.0, most)
+    top = min(max((value for load in loads for row in load for value in row), default=1.0) or 1.0, maximum)
     with _figure(1, len(views), height, sharex=True) as (figure, axes):
         for i, view in enumerate(views):
-            image = _map(axes[0][i], view, loads[i], top)
+            image = _heat_map(axes[0][i], view, loads[i], top)
             axes[0][i].set_title(f"{names[i]}: {what}" if names[i] else what.capitalize())
             axes[0][i].set_xlabel("time (s)")
-        bar = figure.colorbar(image, ax=list(axes[0]), pad=0.015, extend="max" if top == most else "neither")
+        bar = figure.colorbar(
+            image, ax=list(axes[0]), pad=0.015, extend="max" if top == maximum else "neither"
+        )
         bar.set_label(unit)
-        bar.locator = MaxNLocator(6, integer=most > 100)
+        bar.locator = MaxNLocator(6, integer=maximum > 100)
         bar.update_ticks()
         bar.outline.set_visible(False)
         return _png(figure)
 
 
-def _map(axes: Axes, view: View, load: list[Series], top: float) -> Any:
+def _heat_map(axes: Axes, view: View, load: list[Series], top: float) -> Any:
     import numpy
 
-    shown = load[:HEAT_NODES]
+    shown = load[:MAX_HEAT_MAP_NODES]
     thinned = [thin(row) for row in shown] or [([0.0], 1)]
     by = thinned[0][1] * view.step
     image = axes.imshow(
@@ -320,12 +324,14 @@
     )
     axes.grid(False)
     axes.set_xlim(0, min(view.duration, len(thinned[0][0]) * by))
-    every = max(1, -(-len(shown) // 40))
+    label_step = max(1, -(-len(shown) // 40))
     axes.set_yticks(
-        range(0, len(shown), every), [name[:24] for name in view.nodes[:HEAT_NODES:every]], fontsize=7
+        range(0, len(shown), label_step),
+        [name[:24] for name in view.nodes[:MAX_HEAT_MAP_NODES:label_step]],
+        fontsize=7,
     )
-    for spell in view.spells:
-        for edge in (spell.begin, spell.end):
+    for fault in view.faults:
+        for edge in (fault.begin, fault.end):
             axes.axvline(edge, color="white", lw=0.8, ls=":", alpha=0.8)
     return image
 
@@ -334,23 +340,23 @@
 
 
 def attempts(views: Sequence[View], names: Sequence[str]) -> bytes:
-    """Share of the clients' tries by how many attempts they took; a log scale, since the few that took many
-    matter."""
-    most = min(max(1, *(len(view.attempts) - 1 for view in views)), MOST_ATTEMPTS)
+    """Plots the share of the clients' tries by number of attempts, on a log scale, since the few tries with many
+    attempts matter."""
+    maximum = min(max(1, *(len(view.attempts) - 1 for view in views)), MAX_ATTEMPTS)
     with _figure(1, 1, 3.4) as (figure, axes):
         for i, view in enumerate(views):
-            _bars(axes[0][0], view, most, names[i], i, len(views))
-        _attempt_axes(axes[0][0], most)
+            _bars(axes[0][0], view, maximum, names[i], i, len(views))
+        _attempt_axes(axes[0][0], maximum)
         if len(views) > 1:
             figure.legend(loc="outside lower center", ncols=len(views))
         return _png(figure)
 
 
-def _bars(axes: Axes, view: View, most: int, name: str, i: int, of: int) -> None:
+def _bars(axes: Axes, view: View, maximum: int, name: str, i: int, of: int) -> None:
     total = sum(view.attempts) or 1
     width = 0.8 / of
-    left = [n - 0.4 + width * (i + 0.5) for n in range(most + 1)]
-    counts = [*(view.attempts[:most] + [0] * most)[:most], sum(view.attempts[most:])]
+    left = [n - 0.4 + width * (i + 0.5) for n in range(maximum + 1)]
+    counts = [*(view.attempts[:maximum] + [0] * maximum)[:maximum], sum(view.attempts[maximum:])]
     bars = axes.bar(
         left, [100 * c / total for c in counts], width * 0.94, color=(BLUE, ORANGE)[i % 2], label=name or None
     )
@@ -361,15 +367,16 @@
     return f"{share * 100:.3g} %"
 
 
-def _attempt_axes(axes: Axes, most: int) -> None:
+def _attempt_axes(axes: Axes, maximum: int) -> None:
     from matplotlib.ticker import FuncFormatter, NullFormatter
 
-    axes.set_ylim(_floor(axes), 300)
+    axes.set_ylim(_lowest_tick(axes), 300)
     axes.set_yscale("log")
     axes.yaxis.set_major_formatter(FuncFormatter(lambda y, _: f"{y:g}" if y <= 100 else ""))
     axes.yaxis.set_minor_formatter(NullFormatter())
     axes.set_xticks(
-        range(most + 1), [*map(str, range(most)), f"{most}" if most < MOST_ATTEMPTS else f"{most}+"]
+        range(maximum + 1),
+        [*map(str, range(maximum)), f"{maximum}" if maximum < MAX_ATTEMPTS else f"{maximum}+"],
     )
     axes.grid(False, axis="x")
     axes.set_xlabel("attempts at nodes of the first tier for one try of a client")
@@ -377,8 +384,8 @@
     axes.set_title("Attempts per try")
 
 
-def _floor(axes: Any) -> float:
-    """Half of the lowest bar, so that it can be seen."""
+def _lowest_tick(axes: Any) -> float:
+    """Returns half of the lowest bar's height, so that this bar is visible."""
     heights = [patch.get_height() for patch in axes.patches if patch.get_height() > 0]
     return float(min([1.0, *heights])) / 2
 
--- a/slatelab/report/view.py
+++ b/slatelab/report/view.py
@@ -1,6 +1,5 @@
-"""What a result looks like to the plots and the page: plain series in seconds, milliseconds and shares. It
-owns the way there from a result's figures, and is the only place in the report that knows their names. It
-must never draw."""
+"""Converts a result's figures to plain series in seconds, milliseconds and shares for the plots and the page. This is
+the only module of the report that depends on the names of the figures. It draws nothing."""
 
 from __future__ import annotations
 
@@ -16,12 +15,12 @@
 
 Series = list[float]
 Points = list[tuple[float, float]]
-PER_DECADE = 60  # points of a latency curve for each further nine
+PER_DECADE = 60  # points of a latency curve per decade of 1/(1-p)
 
 
 @dataclass(frozen=True, slots=True)
-class Spell:
-    """A fault from when to when, in seconds."""
+class FaultInterval:
+    """The begin and end of a fault, in seconds."""
 
     name: str
     kind: str
@@ -32,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """A run for the reader. `offered` and the four after it: orders in each second. A curve is pairs of a
-    share of the served orders (0 to 1, rising) and the latency in ms that so many did not exceed; the one
-    named "all" comes first. `work` and `held` by node, one value for each `step` seconds: work that came as a
-    share of what the node can do, and attempts held."""
+    """A run prepared for plotting. `offered` and the four after it: orders in each second. A curve is pairs of a share
+    of the served orders (0 to 1, rising) and the latency in ms that this share did not exceed; the one named "all"
+    comes first. `work` and `held` have a series for each node with one value per `step` seconds: the work sent to the
+    node as a share of its capacity, and the attempts that it held."""
 
     name: str
     duration: float
@@ -45,31 +44,31 @@
     late: Series
     refused: Series
     failed: Series
-    goodput: list[float | None]  # None where nothing was offered
+    goodput: list[float | None]  # None if nothing was offered
     curves: dict[str, Points]
     aims: dict[str, float]  # ms
     nodes: list[str]
     step: float
     work: list[Series]
     held: list[Series]
-    attempts: list[int]  # tries of clients by how many attempts they took: 0, 1, 2 ...
-    spells: list[Spell] = field(default_factory=list)
+    attempts: list[int]  # clients' tries by number of attempts: 0, 1, 2 ...
+    faults: list[FaultInterval] = field(default_factory=list)
 
 
 def load_figures(result: Result, folder: Path) -> Figures:
-    """The figures of a result as they were measured. Raises ResultReadError where they are of another version."""
+    """Returns the stored figures of a result. Raises ResultReadError if they have the format of another version."""
     import msgspec
 
     from slatelab.figures import Figures
 
     try:
         return msgspec.convert(result.figures, Figures)
-    except msgspec.ValidationError as problem:
-        raise ResultReadError(f"{folder}: result.json: figures: {problem}") from None
+    except msgspec.ValidationError as error:
+        raise ResultReadError(f"{folder}: result.json: figures: {error}") from None
 
 
 def build_view(result: Result, figures: Figures) -> View:
-    """`figures` are those of the result."""
+    """Builds the view of a result; `figures` are those of the result."""
     series = figures.series
     end = max(float(len(series.offered)), result.duration / 1e6)
     return View(
@@ -89,8 +88,8 @@
         work=[_work(node, figures.load_step, result.capacity) for node in figures.nodes],
         held=[_floats(node.held) for node in figures.nodes],
         attempts=figures.attempts_histogram,
-        spells=[
-            Spell(t.name, t.kind, t.begin / 1e6, end if t.end is None else t.end / 1e6, t.targets)
+        faults=[
+            FaultInterval(t.name, t.kind, t.begin / 1e6, end if t.end is None else t.end / 1e6, t.targets)
             for t in result.troubles
         ],
     )
@@ -101,8 +100,8 @@
 
 
 def _work(node: NodeLoad, step: int, capacity: dict[str, float]) -> Series:
-    can = step * 1e6 * (capacity.get(node.node) or 1.0)
-    return [work / can for work in node.work_us]
+    capacity_us = step * 1e6 * (capacity.get(node.node) or 1.0)
+    return [work / capacity_us for work in node.work_us]
 
 
 def _curves(figures: Figures) -> dict[str, Points]:
@@ -111,19 +110,21 @@
 
 
 def curve(latency: Latency) -> Points:
-    """Points at even distances on the scale 1/(1-p), up to the share that the longest but one stands for."""
+    """Returns points evenly spaced on the log scale of 1/(1-p), up to the share of all orders but the slowest one."""
     from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped, unused-ignore]
 
     shares, n = [0.0], 0
     while shares[-1] < 1 - 1 / latency.count and len(shares) < 6 * PER_DECADE:
         n += 1
         shares.append(min(1 - 10 ** (-n / PER_DECADE), 1 - 1 / latency.count))
-    found = HdrHistogram.decode(latency.hdr).get_percentile_to_value_dict([100 * share for share in shares])
-    return [(share, found[100 * share] / 1000) for share in shares]
+    latencies = HdrHistogram.decode(latency.hdr).get_percentile_to_value_dict(
+        [100 * share for share in shares]
+    )
+    return [(share, latencies[100 * share] / 1000) for share in shares]
 
 
-def thin(series: Sequence[float], most: int = 600) -> tuple[Series, int]:
-    """At most `most` means of equal stretches, and how many values went into each."""
-    by = max(1, -(-len(series) // most))
-    stretches = [series[i : i + by] for i in range(0, len(series), by)]
-    return [sum(one) / len(one) for one in stretches], by
+def thin(series: Sequence[float], maximum: int = 600) -> tuple[Series, int]:
+    """Returns at most `maximum` means of equally long sections, and the number of values in each section."""
+    by = max(1, -(-len(series) // maximum))
+    sections = [series[i : i + by] for i in range(0, len(series), by)]
+    return [sum(one) / len(one) for one in sections], by
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -53,7 +53,7 @@
 def test_a_day_without_any_order_can_be_drawn(result: results.Result, tmp_path: Path) -> None:
     """Nothing served, no node heard of: no curve, no bar, an empty map."""
     seen = view.build_view(result, view.load_figures(result, tmp_path))
-    bare = replace(seen, curves={}, nodes=[], work=[], held=[], attempts=[], spells=[], goodput=[None] * 10)
+    bare = replace(seen, curves={}, nodes=[], work=[], held=[], attempts=[], faults=[], goodput=[None] * 10)
     for _, draw in plots.PLOTS.values():
         assert draw([bare], [""]).startswith(b"\x89PNG")
 
