--- a/benchmarks/catchup_cost.py
+++ b/benchmarks/catchup_cost.py
@@ -1,8 +1,8 @@
-"""What it costs to bring an empty voter up to date: three machines of the group on virtual time, one of them new, the
-others with so many registers. Prints a Markdown table: how long it takes at the pace of a walk, datagrams, bytes, and
-the processor time of all three together.
+"""Benchmark of bringing an empty voter up to date: three replicas on virtual time, one of them new, the others with a
+given number of registers. Prints a Markdown table: the duration at the rate of the catch-up, datagrams, bytes, and the
+processor time of all three replicas together.
 
-    .lab/bin/python benchmarks/catchup_cost.py [--sizes 1000,10000,100000]      # a million wants 3 GB
+    .lab/bin/python benchmarks/catchup_cost.py [--sizes 1000,10000,100000]      # a million needs 3 GB
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from slatehub.copies.messages import Ballot, RegisterState
 from slatelab.peers.replica_simulation import SECOND, ReplicaSimulation
 
-VALUE = b"v" * 150  # as the ledger writes it
+VALUE = b"v" * 150  # the size of a value that the ledger writes
 
 
-def filled(size: int) -> ReplicaSimulation:
-    votes = ReplicaSimulation(1, ["p0", "p1", "p2"])
-    votes.start("p0", "p1", "p2")
-    votes.run(2 * SECOND)
+def simulation_with_registers(size: int) -> ReplicaSimulation:
+    simulation = ReplicaSimulation(1, ["p0", "p1", "p2"])
+    simulation.start("p0", "p1", "p2")
+    simulation.run(2 * SECOND)
     for number in range(size):
         row = RegisterState(blake2b(b"%d" % number, digest_size=16).digest(), Ballot(5, 9), 0, VALUE)
         for name in ("p0", "p1"):
-            votes.running[name].acceptor._put(row, 0)
-    return votes
+            simulation.running[name].acceptor._put(row, 0)
+    return simulation
 
 
 def main() -> None:
@@ -34,23 +34,32 @@
     args = parser.parse_args()
     print("| registers | seconds | datagrams | MB | processor, s | us of it a register |\n|" + " --- |" * 6)
     for size in [int(x) for x in args.sizes.split(",")]:
-        votes = filled(size)
+        simulation = simulation_with_registers(size)
         sent = [0]
-        usual = votes._send
+        original_send = simulation._send
 
-        def send(name: str, to: str, data: bytes, usual: object = usual, sent: list[int] = sent) -> None:
+        def send(
+            name: str, to: str, data: bytes, original_send: object = original_send, sent: list[int] = sent
+        ) -> None:
             sent[0] += len(data)
-            usual(name, to, data)  # type: ignore[operator]
-
-        votes._send = send  # type: ignore[method-assign]
-        votes.crash("p2", wipe=True)
-        votes.start("p2")
-        began, cpu, carried = votes.now, time.process_time(), votes.messages_sent
-        while votes.running["p2"].config.epoch < 3:
-            votes.run(SECOND)
+            original_send(name, to, data)  # type: ignore[operator]
+
+        simulation._send = send  # type: ignore[method-assign]
+        simulation.crash("p2", wipe=True)
+        simulation.start("p2")
+        started, cpu, messages_before = simulation.now, time.process_time(), simulation.messages_sent
+        while simulation.running["p2"].config.epoch < 3:
+            simulation.run(SECOND)
         cpu = time.process_time() - cpu
-        took, count = (votes.now - began) / SECOND, votes.messages_sent - carried
-        cells = (size, f"{took:.0f}", count, f"{sent[0] / 1e6:.1f}", f"{cpu:.1f}", f"{cpu / size * 1e6:.0f}")
+        duration_s, count = (simulation.now - started) / SECOND, simulation.messages_sent - messages_before
+        cells = (
+            size,
+            f"{duration_s:.0f}",
+            count,
+            f"{sent[0] / 1e6:.1f}",
+            f"{cpu:.1f}",
+            f"{cpu / size * 1e6:.0f}",
+        )
         print("| " + " | ".join(map(str, cells)) + " |", flush=True)
 
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,11 +1,10 @@
-"""What one decision costs: `Balancer.handle` in steady state at 10 to 10,000 nodes with 1, 10 and 100 requests in hand,
-and what the rarer events cost (a change of the list, a whole list, a start). It owns nothing but its figures. Run it on
-an idle core:
+"""Benchmark of one decision: `Balancer.handle` in steady state at 10 to 10,000 nodes with 1, 10 and 100 requests in
+progress, and the cost of a change of the node list. Run it on an idle core:
 
     python benchmarks/decision_cost.py [--nodes 10,100,1000,10000] [--hand 1,10,100] [--json FILE]
 
-Each figure is the median of several rounds, in microseconds for one request: its Arrival and its Outcome, each a batch
-of its own, as they come in the daemon on a quiet day."""
+Each figure is the median of several rounds, in microseconds for one request: its Arrival and its Outcome, each in a
+batch of its own, as in the daemon under low load."""
 
 from __future__ import annotations
 
@@ -51,29 +50,29 @@
 )  # fmt: skip
 
 
-class Day:
-    """A module with so many nodes and so many requests in hand; `step` ends the oldest and takes a new one."""
+class SteadyLoad:
+    """A Balancer with `nodes` nodes and `in_progress` requests; `step` ends the oldest request and begins a new one."""
 
-    def __init__(self, nodes: int, hand: int, service_us: int) -> None:
+    def __init__(self, nodes: int, in_progress: int, service_us: int) -> None:
         self.balancer = Balancer(SETTINGS, 1)
         self.now = 1_000_000 * MS
         self.serial = 0
-        self.hand = hand
+        self.in_progress = in_progress
         self.service_us = service_us
         self.out: deque[tuple[int, int, int, int]] = deque()  # request, attempt, endpoint, sent
         self.attempts: dict[int, int] = {}
         self.refused = 0
         entries = tuple(Entry(n * 7919 % 1_000_003 + 1, cell=n % 9) for n in range(nodes))
-        self.give([ListUpdate(ListKind.FULL, 1, entries)])
+        self.handle([ListUpdate(ListKind.FULL, 1, entries)])
 
-    def give(self, events: list[Event]) -> float:
-        began = time.perf_counter_ns()
+    def handle(self, events: list[Event]) -> float:
+        started = time.perf_counter_ns()
         actions = self.balancer.handle(self.now, events)
-        spent = time.perf_counter_ns() - began
-        self.note(actions)
-        return spent / 1000
+        elapsed_ns = time.perf_counter_ns() - started
+        self.record_actions(actions)
+        return elapsed_ns / 1000
 
-    def note(self, actions: list[Action]) -> None:
+    def record_actions(self, actions: list[Action]) -> None:
         for a in actions:
             if isinstance(a, Send):
                 attempt = self.attempts.get(a.request, -1) + 1
@@ -83,48 +82,49 @@
                 self.refused += 1
 
     def step(self) -> tuple[float, float]:
-        """One request: what its arrival and what an outcome cost. Time moves so that calls take `service_us`."""
-        self.now += max(1, self.service_us // self.hand)
+        """Returns the cost of one request's arrival and of an outcome, in microseconds. Time advances so that calls
+        take `service_us`."""
+        self.now += max(1, self.service_us // self.in_progress)
         self.serial += 1
-        arrival = self.give([Arrival(self.serial, self.serial % 2, left_us=6_000 * MS)])
+        arrival = self.handle([Arrival(self.serial, self.serial % 2, left_us=6_000 * MS)])
         outcome = 0.0
-        while len(self.out) >= self.hand:
+        while len(self.out) >= self.in_progress:
             request, attempt, endpoint, sent = self.out.popleft()
             self.attempts.pop(request, None)
-            outcome += self.give(
+            outcome += self.handle(
                 [Outcome(request, attempt, endpoint, Status.OK, max(1, self.now - sent), True)]
             )
         return arrival, outcome
 
     def delta(self) -> float:
-        """One node starts to drain and is back."""
+        """Returns the cost of a list change in which one node begins to drain; undoes the change afterwards."""
         entry = self.balancer.ready[0].entry
-        cost = self.give(
+        cost = self.handle(
             [ListUpdate(ListKind.DELTA, 2, (Entry(entry.endpoint, State.DRAINING, cell=entry.cell),))]
         )
-        self.give([ListUpdate(ListKind.DELTA, 3, (entry,))])
+        self.handle([ListUpdate(ListKind.DELTA, 3, (entry,))])
         return cost
 
 
-def steady(nodes: int, hand: int, rounds: int, size: int) -> dict[str, float]:
-    day = Day(nodes, hand, 100 * MS)
-    for _ in range(300 + 3 * hand):
-        day.step()
-    day.refused = 0
+def measure_steady_state(nodes: int, in_progress: int, rounds: int, size: int) -> dict[str, float]:
+    load = SteadyLoad(nodes, in_progress, 100 * MS)
+    for _ in range(300 + 3 * in_progress):
+        load.step()
+    load.refused = 0
     arrivals, outcomes = [], []
     for _ in range(rounds):
-        costs = [day.step() for _ in range(size)]
+        costs = [load.step() for _ in range(size)]
         arrivals.append(statistics.fmean(c[0] for c in costs))
         outcomes.append(statistics.fmean(c[1] for c in costs))
     return {
         "arrival_us": round(statistics.median(arrivals), 1),
         "outcome_us": round(statistics.median(outcomes), 1),
-        "refused": round(day.refused / (rounds * size), 3),
-        "delta_us": round(statistics.median(day.delta() for _ in range(5)), 1),
+        "refused": round(load.refused / (rounds * size), 3),
+        "delta_us": round(statistics.median(load.delta() for _ in range(5)), 1),
     }
 
 
-def numbers(text: str) -> list[int]:
+def parse_numbers(text: str) -> list[int]:
     return [int(part) for part in text.split(",")]
 
 
@@ -146,13 +146,13 @@
         ("delta", 10),
     )
     click.echo(" ".join(f"{name:>{width}}" for name, width in names) + "   (us)")
-    for n in numbers(nodes):
-        for h in numbers(hand):
-            row: dict[str, Any] = {"nodes": n, "hand": h, **steady(n, h, rounds, size)}
+    for n in parse_numbers(nodes):
+        for h in parse_numbers(hand):
+            row: dict[str, Any] = {"nodes": n, "hand": h, **measure_steady_state(n, h, rounds, size)}
             table.append(row)
-            whole = row["arrival_us"] + row["outcome_us"]
+            request_us = row["arrival_us"] + row["outcome_us"]
             click.echo(
-                f"{n:>6} {h:>5} {row['arrival_us']:>9} {row['outcome_us']:>9} {whole:>9.1f}"
+                f"{n:>6} {h:>5} {row['arrival_us']:>9} {row['outcome_us']:>9} {request_us:>9.1f}"
                 f" {row['refused']:>8} {row['delta_us']:>10}"
             )
     if out:
--- a/benchmarks/fleet_tables.py
+++ b/benchmarks/fleet_tables.py
@@ -1,5 +1,5 @@
-"""What a fleet gains over proxies that share nothing, by its size: Markdown tables from the engine `model`, paired by
-seed, with 95 % intervals (Student's t). FOLDER: an earlier version, with its own lab. Long.
+"""Benchmark of a fleet against proxies that share nothing, by the number of proxies: Markdown tables from the model
+engine, paired by seed, with 95 % intervals (Student's t). FOLDER holds an earlier version with its own lab. Takes long.
 
     .lab/bin/python benchmarks/fleet_tables.py [--before FOLDER] [--only NAME,..] [--sizes 1,4,16,64,200]
 """
@@ -35,26 +35,26 @@
 }  # fmt: skip
 
 
-def play(job: tuple[Key, str]) -> tuple[Key, dict[str, float]]:
-    """One day; the figures by name."""
+def run_scenario(job: tuple[Key, str]) -> tuple[Key, dict[str, float]]:
+    """Runs one scenario. Returns the key and the figures by name."""
     (name, variant, proxies, seed), before = job
     if variant == "before":
-        return job[0], _before(name, proxies, seed, before)
+        return job[0], _run_earlier_version(name, proxies, seed, before)
     scenario = load(FOLDER / f"{name}.toml", {"tier.0.proxies": proxies, **VARIANTS[variant]})
     records = run(scenario, seed, FOLDER, None).records
     figures = measure(scenario, records)
     bad = {f.targets[0] for f in records if isinstance(f, r.FaultBegan) and f.targets}
-    firsts = [f for f in records if isinstance(f, r.Came)]
+    came = [f for f in records if isinstance(f, r.Came)]
     found = {
         "goodput": 100 * (figures.goodput or 0), "p50": figures.latency.p50 or 0, "attempts": figures.attempts or 0,
         "violations": float(len(judge(scenario, records).violations)),
-        "at_bad": float(sum(f.node in bad and 10e6 <= f.first < 26e6 for f in firsts)),
+        "at_bad": float(sum(f.node in bad and 10e6 <= f.first < 26e6 for f in came)),
         "inverted": 100 * (priority_inversions(scenario, records) or 0.0),
     }  # fmt: skip
     return job[0], found
 
 
-def _before(name: str, proxies: int, seed: int, folder: str) -> dict[str, float]:
+def _run_earlier_version(name: str, proxies: int, seed: int, folder: str) -> dict[str, float]:
     with tempfile.NamedTemporaryFile(suffix=".json") as file:
         command = [
             sys.executable, "-m", "slatelab", "run", str(FOLDER / f"{name}.toml"), "--set", f"tier.0.proxies={proxies}",
@@ -62,16 +62,16 @@
         ]  # fmt: skip
         env = {**os.environ, "PYTHONPATH": folder}
         subprocess.run(command, cwd=folder, env=env, check=True, capture_output=True)
-        told = json.loads(Path(file.name).read_text())
+        summary = json.loads(Path(file.name).read_text())
     return {
-        "goodput": 100 * told["goodput"],
-        "p50": told["latency_ms"]["p50"],
-        "violations": told["violations"],
+        "goodput": 100 * summary["goodput"],
+        "p50": summary["latency_ms"]["p50"],
+        "violations": summary["violations"],
     }
 
 
 def interval(values: list[float]) -> str:
-    """The mean and half the width of its 95 % interval (Student's t)."""
+    """Returns the mean and half the width of its 95 % interval (Student's t) as text."""
     if len(values) < 2:
         return f"{mean(values):.2f}"
     half = float(student.ppf(0.975, len(values) - 1)) * stdev(values) / sqrt(len(values))
@@ -80,19 +80,19 @@
 
 class Table:
     def __init__(self, found: dict[Key, dict[str, float]], seeds: range) -> None:
-        self.found, self.seeds = found, seeds
+        self.figures, self.seeds = found, seeds
 
     def of(self, name: str, variant: str, size: int, figure: str) -> list[float]:
-        return [self.found[name, variant, size, seed][figure] for seed in self.seeds]
+        return [self.figures[name, variant, size, seed][figure] for seed in self.seeds]
 
-    def gap(self, name: str, a: str, b: str, size: int, figure: str) -> str:
+    def difference(self, name: str, a: str, b: str, size: int, figure: str) -> str:
         pairs = zip(self.of(name, a, size, figure), self.of(name, b, size, figure), strict=True)
         return interval([y - x for x, y in pairs])
 
 
-def goodput(table: Table, name: str, variants: list[str], sizes: list[int]) -> Iterator[str]:
-    heads = " | ".join(f"{v}: goodput %, median ms" for v in variants)
-    yield f"\n{name}\n\n| proxies | {heads} | peers - alone |"
+def goodput_table(table: Table, name: str, variants: list[str], sizes: list[int]) -> Iterator[str]:
+    headers = " | ".join(f"{v}: goodput %, median ms" for v in variants)
+    yield f"\n{name}\n\n| proxies | {headers} | peers - alone |"
     yield "|" + " --- |" * (len(variants) + 2)
     for size in sizes:
         cells = []
@@ -100,11 +100,15 @@
             good, p50 = table.of(name, variant, size, "goodput"), table.of(name, variant, size, "p50")
             cells.append(f"{interval(good)}, {mean(p50):.0f}")
         yield (
-            f"| {size} | " + " | ".join(cells) + f" | {table.gap(name, 'alone', 'peers', size, 'goodput')} |"
+            f"| {size} | "
+            + " | ".join(cells)
+            + f" | {table.difference(name, 'alone', 'peers', size, 'goodput')} |"
         )
 
 
-def single(table: Table, name: str, figure: str, variants: list[str], sizes: list[int]) -> Iterator[str]:
+def figure_table(
+    table: Table, name: str, figure: str, variants: list[str], sizes: list[int]
+) -> Iterator[str]:
     yield (
         f"\n{name}, {figure}\n\n| proxies | "
         + " | ".join(variants)
@@ -126,26 +130,26 @@
     sizes, seeds = [int(x) for x in args.sizes.split(",")], range(1, args.seeds + 1)
     two, few = ["alone", "peers"], sizes[:4]
     three = [*(["before"] if args.before else []), "alone", "peers"]
-    plans: dict[str, tuple[list[str], list[int], Callable[[Table, str], Iterator[str]]]] = {
-        "storm-outage": (three, sizes, lambda t, n: goodput(t, n, three, sizes)),
-        "many-proxies": (three, sizes, lambda t, n: goodput(t, n, three, sizes)),
-        "one-ejected": (two, few, lambda t, n: single(t, n, "at_bad", two, few)),
-        "all-half-fail": (two, few, lambda t, n: single(t, n, "attempts", two, few)),
-        "one-loud": (two, few[1:], lambda t, n: single(t, n, "inverted", two, few[1:])),
+    tables: dict[str, tuple[list[str], list[int], Callable[[Table, str], Iterator[str]]]] = {
+        "storm-outage": (three, sizes, lambda t, n: goodput_table(t, n, three, sizes)),
+        "many-proxies": (three, sizes, lambda t, n: goodput_table(t, n, three, sizes)),
+        "one-ejected": (two, few, lambda t, n: figure_table(t, n, "at_bad", two, few)),
+        "all-half-fail": (two, few, lambda t, n: figure_table(t, n, "attempts", two, few)),
+        "one-loud": (two, few[1:], lambda t, n: figure_table(t, n, "inverted", two, few[1:])),
     }  # fmt: skip
-    for name, (variants, counts, told) in plans.items():
+    for name, (variants, counts, table_lines) in tables.items():
         if args.only and name not in args.only.split(","):
             continue
         keys = [(name, v, n, s) for n in reversed(counts) for v in variants for s in seeds]
         if name == "storm-outage":
             keys += [(name, "cut", 16, s) for s in seeds]
         with ProcessPoolExecutor(args.jobs) as pool:
-            found = dict(pool.map(play, [(key, args.before) for key in keys]))
+            found = dict(pool.map(run_scenario, [(key, args.before) for key in keys]))
         table = Table(found, seeds)
-        print("\n".join(told(table, name)), flush=True)
+        print("\n".join(table_lines(table, name)), flush=True)
         if name == "storm-outage":
             print(
-                f"\nall links cut, 16 proxies, against alone: {table.gap(name, 'alone', 'cut', 16, 'goodput')}"
+                f"\nall links cut, 16 proxies, against alone: {table.difference(name, 'alone', 'cut', 16, 'goodput')}"
             )
         broken = sum(figures["violations"] for figures in found.values())
         print(f"\n{len(found)} days, {broken:.0f} breaches of rules", flush=True)
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,6 +1,6 @@
-"""What the benchmarks of a whole proxy share: instant nodes, a discovery that lists them, a closed loop of callers, and
-the proxy or relay under test, each a process on cores of its own. It owns and ends every process it starts, and stays
-on loopback."""
+"""Shared by the benchmarks of a whole proxy: nodes that answer at once, a discovery that lists them, a closed loop of
+callers, and the proxy or relay under test, each in a process on cores of its own. The harness ends every process that
+it starts, and uses only loopback addresses."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return sorted(os.sched_getaffinity(0))
 
 
-class Serve(asyncio.Protocol):
+class RequestServer(asyncio.Protocol):
     """Answers each request at once with `answer(target)`."""
 
     def __init__(self, answer: Callable[[bytes], bytes]) -> None:
@@ -61,39 +61,39 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        places = []
+        addresses = []
         for host in hosts:
-            server = await loop.create_server(lambda: Serve(lambda _: ANSWER), host, 0, backlog=4096)
-            places.append(f"{host}:{server.sockets[0].getsockname()[1]}")
-        listed = json.dumps(
-            {"revision": 1, "complete": True, "members": [member(p) for p in places]}
+            server = await loop.create_server(lambda: RequestServer(lambda _: ANSWER), host, 0, backlog=4096)
+            addresses.append(f"{host}:{server.sockets[0].getsockname()[1]}")
+        full_list = json.dumps(
+            {"revision": 1, "complete": True, "members": [member(p) for p in addresses]}
         ).encode()
 
-        def tell(url: bytes) -> bytes:
-            body = b'{"revision":1,"complete":false,"members":[]}' if b"since=" in url else listed
+        def discovery_answer(url: bytes) -> bytes:
+            body = b'{"revision":1,"complete":false,"members":[]}' if b"since=" in url else full_list
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
-        class Listing(Serve):
+        class DiscoveryServer(RequestServer):
             def on_message_complete(self) -> None:
-                wait = 2.0 if b"since=" in self.url else 0.0  # a watch with nothing to tell
-                loop.call_later(wait, self.transport.write, tell(self.url))
+                wait = 2.0 if b"since=" in self.url else 0.0  # a watch without changes
+                loop.call_later(wait, self.transport.write, discovery_answer(self.url))
 
-        server = await loop.create_server(lambda: Listing(tell), "127.0.0.1", 0)
-        ready.send((places, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"))
+        server = await loop.create_server(lambda: DiscoveryServer(discovery_answer), "127.0.0.1", 0)
+        ready.send((addresses, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"))
         await asyncio.Event().wait()
 
     uvloop.run(main())
 
 
-def member(place: str) -> dict[str, Any]:
-    return {"id": f"s-{place}", "host_port": place, "locality": "a", "flavor": "std", "cell": 0, "phase": "SERVING",
+def member(address: str) -> dict[str, Any]:
+    return {"id": f"s-{address}", "host_port": address, "locality": "a", "flavor": "std", "cell": 0, "phase": "SERVING",
             "size": 1.0, "up_since_ms": 0}  # fmt: skip
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection that asks again as soon as it has its answer."""
+    """One connection that sends the next request as soon as it has the answer to the previous one."""
 
-    def __init__(self, share: Share, number: int) -> None:
+    def __init__(self, share: LoadShare, number: int) -> None:
         self.share = share
         self.number = number
         self.serial = 0
@@ -101,11 +101,11 @@
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.serial += 1
-        self.began = time.perf_counter()
+        self.sent_at = time.perf_counter()
         self.transport.write(
             b"GET /job-status/1 HTTP/1.1\r\nHost: app\r\nX-Request-ID: c%d-%d\r\nX-Priority-Class: job-status\r\n"
             b"X-Tenant-Id: all\r\nX-Timeout: 60000m\r\n"
@@ -116,77 +116,77 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.share.count(time.perf_counter() - self.began, self.parser.get_status_code())
-        if self.share.on:
-            self.ask()
+        self.share.count(time.perf_counter() - self.sent_at, self.parser.get_status_code())
+        if self.share.active:
+            self.send_request()
 
     def connection_lost(self, _: Exception | None) -> None:
-        if self.share.on:
+        if self.share.active:
             self.share.lost += 1
 
 
-class Share:
-    """One calling process's part of the load."""
+class LoadShare:
+    """The part of the load that one load generator process produces."""
 
     def __init__(self) -> None:
-        self.on = True
+        self.active = True
         self.lost = self.bad = 0
-        self.times: list[float] = []
+        self.latencies: list[float] = []
 
-    def count(self, took: float, status: int) -> None:
+    def count(self, duration: float, status: int) -> None:
         if status == 200:
-            self.times.append(took)
+            self.latencies.append(duration)
         else:
             self.bad += 1
 
 
-def load_generator_process(pipe: Connection, core: int, place: str, first: int, connections: int) -> None:
+def load_generator_process(pipe: Connection, core: int, address: str, first: int, connections: int) -> None:
     os.sched_setaffinity(0, {core})
-    host, _, port = place.rpartition(":")
+    host, _, port = address.rpartition(":")
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        share = Share()
+        share = LoadShare()
         for i in range(connections):
             await loop.create_connection(partial(ClientConnection, share, first + i), host, int(port))
         pipe.send("up")
-        while (word := await loop.run_in_executor(None, pipe.recv)) != "end":
-            share.times.clear()
+        while (command := await loop.run_in_executor(None, pipe.recv)) != "end":
+            share.latencies.clear()
             share.bad = 0
-            if word == "begin":
-                began = time.perf_counter()
-        took = time.perf_counter() - began
-        share.on = False
-        pipe.send((share.times, share.bad, share.lost, took))
+            if command == "begin":
+                started = time.perf_counter()
+        duration = time.perf_counter() - started
+        share.active = False
+        pipe.send((share.latencies, share.bad, share.lost, duration))
 
     uvloop.run(main())
 
 
 @contextmanager
 def nodes(count: int, core: int) -> Iterator[tuple[list[str], str]]:
-    """Instant nodes and their discovery: their addresses."""
+    """Starts nodes that answer at once, and their discovery. Yields the addresses of both."""
     context = get_context("spawn")
-    here, there = context.Pipe()
+    parent_end, child_end = context.Pipe()
     process = context.Process(
-        target=node_process, args=(there, core, [f"127.0.1.{i + 1}" for i in range(count)])
+        target=node_process, args=(child_end, core, [f"127.0.1.{i + 1}" for i in range(count)])
     )
     process.start()
     try:
-        yield here.recv()
+        yield parent_end.recv()
     finally:
         process.kill()
         process.join()
 
 
 def settings(classes: tuple[str, ...] = ("job-status",)) -> dict[str, Any]:
-    kinds = [
+    services = [
         {"name": c, "idempotency": "retryable", "slo_us": 2_500_000, "hard_limit_us": 60_000_000}
         for c in classes
     ]
     return {
         "allowed": {"max_attempts": 4, "may_cancel": True, "may_duplicate": True, "conn_idle_us": 30_000_000,
                     "connect_timeout_us": 1_000_000, "probing": False, "retry_after": True, "peer_messages": False},
-        "services": kinds, "tenants": [{"name": "all", "share": 1.0, "allowance_per_s": 0.0}],
+        "services": services, "tenants": [{"name": "all", "share": 1.0, "allowance_per_s": 0.0}],
         "obligations": {"answer_slack_us": 20_000, "ask_every_us": 6_000_000, "cold_from": 0.3, "fall_multiple": 3.0,
                         "drain_grace_us": 2_500_000, "tip_after_us": 1_500_000, "warm_after_us": 0},
         "report": {"columns": ["qps", "util"], "source": "answers"}, "kinds": ["std"], "zones": ["a"],
@@ -197,9 +197,10 @@
 
 @contextmanager
 def started_process(argv: list[str], core: int, **environ: str) -> Iterator[tuple[str, psutil.Process]]:
-    """A process under test that says ` listens on HOST:PORT` on standard error; its address and itself."""
+    """Starts a process under test, which prints ` listens on HOST:PORT` on standard error. Yields its address and the
+    process."""
 
-    def on_its_core() -> None:
+    def pin_to_core() -> None:
         os.sched_setaffinity(0, {core})
 
     process = subprocess.Popen(
@@ -207,7 +208,7 @@
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=on_its_core,
+        preexec_fn=pin_to_core,
         env={**os.environ, **environ},
     )
     try:
@@ -215,8 +216,8 @@
         line = next((x for x in process.stderr if "listens on " in x), "")
         if not line:
             raise RuntimeError(f"{argv} did not start")
-        place = line.partition("listens on ")[2].split()[0].rstrip(',"')
-        yield place, psutil.Process(process.pid)
+        address = line.partition("listens on ")[2].split()[0].rstrip(',"')
+        yield address, psutil.Process(process.pid)
     finally:
         process.send_signal(signal.SIGKILL)
         process.wait()
@@ -226,42 +227,42 @@
 def proxy(
     members: list[str], discovery: str, core: int, sockets: int = 4096, memory_mb: int = 2048
 ) -> Iterator[Any]:
-    tree = {
+    config = {
         "name": "bench", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         "known": {"revision": 0, "complete": True, "members": [member(p) for p in members]}, "settings": settings(),
     }  # fmt: skip
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(tree))
+        path.write_text(json.dumps(config))
         argv = [sys.executable, "-B", "-m", "slatehub", "serve"]
         with started_process(argv, core, EDGE_CONFIG=str(path)) as found:
             yield found
 
 
 def closed_loop_load(
-    place: str, connections: int, seconds: float, on: list[int], under_test: psutil.Process
+    address: str, connections: int, seconds: float, on: list[int], under_test: psutil.Process
 ) -> dict[str, float]:
-    """A closed loop of so many connections: requests a second, CPU per request and latency."""
+    """Runs a closed loop over `connections` connections. Returns requests per second, CPU per request and latency."""
     context = get_context("spawn")
     callers = []
     share = max(1, connections // len(on))
     for i, core in enumerate(on if connections >= len(on) else on[:1]):
-        here, there = context.Pipe()
+        parent_end, child_end = context.Pipe()
         process = context.Process(
-            target=load_generator_process, args=(there, core, place, i * 1_000_000, share)
+            target=load_generator_process, args=(child_end, core, address, i * 1_000_000, share)
         )
         process.start()
-        callers.append((process, here))
+        callers.append((process, parent_end))
     try:
         for _, pipe in callers:
             pipe.recv()
-        time.sleep(min(2.0, seconds / 2))  # until it runs evenly
+        time.sleep(min(2.0, seconds / 2))  # until the load is steady
         for _, pipe in callers:
             pipe.send("begin")
-        used = sum(under_test.cpu_times()[:2])
+        cpu_s = sum(under_test.cpu_times()[:2])
         time.sleep(seconds)
-        used = sum(under_test.cpu_times()[:2]) - used
+        cpu_s = sum(under_test.cpu_times()[:2]) - cpu_s
         for _, pipe in callers:
             pipe.send("end")
         shares = [pipe.recv() for _, pipe in callers]
@@ -269,10 +270,11 @@
         for process, _ in callers:
             process.kill()
             process.join()
-    times = sorted(t for s in shares for t in s[0])
+    latencies = sorted(t for s in shares for t in s[0])
     rate = sum(len(s[0]) / s[3] for s in shares)
     return {
-        "rate_per_s": round(rate), "cpu_us": round(used / max(1, len(times)) * 1e6, 1),
-        "p50_ms": round(times[len(times) // 2] * 1e3, 3), "p99_ms": round(times[len(times) * 99 // 100] * 1e3, 3),
+        "rate_per_s": round(rate), "cpu_us": round(cpu_s / max(1, len(latencies)) * 1e6, 1),
+        "p50_ms": round(latencies[len(latencies) // 2] * 1e3, 3),
+        "p99_ms": round(latencies[len(latencies) * 99 // 100] * 1e3, 3),
         "bad": sum(s[1] + s[2] for s in shares),
     }  # fmt: skip
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,5 +1,6 @@
-"""What an order of a kept class costs more than one of any other: real proxies on loopback, each on a core of its own,
-and a closed loop of callers at one of them. Prints a Markdown table of all ways in one run. Needs eight cores.
+"""Benchmark of the extra cost of an order whose class is recorded in the ledger: real proxies on loopback, each on a
+core of its own, and a closed loop of callers at one of them. Prints a Markdown table of all variants in one run. Needs
+eight cores.
 
     .lab/bin/python benchmarks/ledger_cost.py [--connections 1,16] [--seconds 4] [--folder DIR]
 """
@@ -21,31 +22,34 @@
 from slatehub.settings import key_file
 from slatelab.peers.relay import free_udp_addresses
 
-WAYS = {
+VARIANTS = {
     "no ledger": (0, True), "1 copy": (1, True), "3 copies": (3, True), "3, no sync": (3, False), "5 copies": (5, True),
 }  # fmt: skip
 
 
 @contextmanager
 def group(
-    count: int, sync: bool, members: list[str], discovery: str, folder: Path, on: list[int]
+    count: int, sync: bool, members: list[str], discovery: str, folder: Path, proxy_cores: list[int]
 ) -> Iterator[Any]:
-    """So many proxies, of which the first is asked; none of them keeps anything where `count` is 0."""
+    """Starts `count` proxies and yields the first, which gets the requests. If `count` is 0, starts one proxy without a
+    ledger."""
     names = [f"p{i}" for i in range(max(1, count))]
-    places = free_udp_addresses(names)
+    addresses = free_udp_addresses(names)
     key = folder / "key"
     key_file.add(str(key), True)
     with ExitStack() as stack:
-        found = []
+        started = []
         for i, name in enumerate(names):
-            tree = {
+            config = {
                 "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": str(i + 1),
                 "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 4096},
                 "known": {"revision": 0, "complete": True, "members": [member(p) for p in members]},
                 "settings": settings(),
             }  # fmt: skip
-            (folder / f"{name}.json").write_text(json.dumps(tree))
-            (folder / f"{name}.toml").write_text(_own(places, name, folder, key, sync) if count else "")
+            (folder / f"{name}.json").write_text(json.dumps(config))
+            (folder / f"{name}.toml").write_text(
+                _operator_config(addresses, name, folder, key, sync) if count else ""
+            )
             (folder / name).mkdir()
             argv = [
                 sys.executable,
@@ -56,16 +60,20 @@
                 "--operator",
                 str(folder / f"{name}.toml"),
             ]
-            place = started_process(argv, on[i % len(on)], EDGE_CONFIG=str(folder / f"{name}.json"))
-            found.append(stack.enter_context(place))
-        yield found[0]
+            proxy_process = started_process(
+                argv, proxy_cores[i % len(proxy_cores)], EDGE_CONFIG=str(folder / f"{name}.json")
+            )
+            started.append(stack.enter_context(proxy_process))
+        yield started[0]
 
 
-def _own(places: dict[str, tuple[str, int]], name: str, folder: Path, key: Path, sync: bool) -> str:
-    words = {one: f"{host}:{port}" for one, (host, port) in places.items()}
+def _operator_config(
+    addresses: dict[str, tuple[str, int]], name: str, folder: Path, key: Path, sync: bool
+) -> str:
+    endpoints = {one: f"{host}:{port}" for one, (host, port) in addresses.items()}
     return (
-        f'[fleet]\nlisten = "{words[name]}"\nseeds = {list(words.values())[:2]}\n'
-        f'name = "bench"\nkey_file = "{key}"\n[copies]\nfolder = "{folder / name}"\nvoters = {list(places)}\n'
+        f'[fleet]\nlisten = "{endpoints[name]}"\nseeds = {list(endpoints.values())[:2]}\n'
+        f'name = "bench"\nkey_file = "{key}"\n[copies]\nfolder = "{folder / name}"\nvoters = {list(addresses)}\n'
         f'sync = {str(sync).lower()}\n[ledger]\nclasses = ["job-status"]\n'
     )
 
@@ -76,26 +84,26 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--folder", default=tempfile.gettempdir())
     args = parser.parse_args()
-    free = cores()
+    free_cores = cores()
     print("| callers | way | orders a second | p50 ms | p99 ms | CPU us an order | bad |\n|" + " --- |" * 7)
-    with nodes(8, free[0]) as (members, discovery):
+    with nodes(8, free_cores[0]) as (members, discovery):
         for connections in [int(x) for x in args.connections.split(",")]:
-            for way, (count, sync) in WAYS.items():
+            for variant, (count, sync) in VARIANTS.items():
                 folder = Path(tempfile.mkdtemp(dir=args.folder))
                 try:
-                    with group(count, sync, members, discovery, folder, free[2:]) as (place, process):
+                    with group(count, sync, members, discovery, folder, free_cores[2:]) as (address, process):
                         _row(
                             connections,
-                            way,
-                            closed_loop_load(place, connections, args.seconds, free[1:2], process),
+                            variant,
+                            closed_loop_load(address, connections, args.seconds, free_cores[1:2], process),
                         )
                 finally:
                     shutil.rmtree(folder, ignore_errors=True)
 
 
-def _row(connections: int, way: str, told: dict[str, float]) -> None:
-    cells = (told["rate_per_s"], told["p50_ms"], told["p99_ms"], told["cpu_us"], told["bad"])
-    print(f"| {connections} | {way} | " + " | ".join(map(str, cells)) + " |", flush=True)
+def _row(connections: int, variant: str, figures: dict[str, float]) -> None:
+    cells = (figures["rate_per_s"], figures["p50_ms"], figures["p99_ms"], figures["cpu_us"], figures["bad"])
+    print(f"| {connections} | {variant} | " + " | ".join(map(str, cells)) + " |", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/model_theory.py
+++ b/benchmarks/model_theory.py
@@ -1,17 +1,17 @@
-"""Holds the engine `model` against queueing theory: mean waits of M/M/1, M/M/c and M/G/1 at one node, callers
-going straight to it. It owns the formulas and the statistics. It must never look into the engine: a wait is
-what the facts say, from Came to Began.
+"""Compares the model engine with queueing theory: mean waits of M/M/1, M/M/c and M/G/1 at one node, to which callers
+connect directly. This module has the formulas and the statistics. A wait is taken from the records, from Came to Began,
+not from the engine's state.
 
     flock -s /tmp/cores.lock python benchmarks/model_theory.py --for 170 --runs /tmp/theory.jsonl
 
-plays runs for so many seconds, keeps their means in the file, and prints the table of all that the file
-holds; called again it goes on. Full accuracy takes some 80 million orders, an hour and a half of one core.
+simulates for the given number of seconds, appends the means of each run to the file, and prints the table of all runs
+in the file; another call continues. Full accuracy takes some 80 million orders, an hour and a half of one core.
 
-Three columns stand beside each mean wait. Theory: the formula, and by how much the mean differs, with the
-half-width of its 95 % confidence interval (Student's t over independent runs, the batch means method with
-batches that share nothing). Sample: the same against the formula with the rate and the moments of work as
-they were drawn in each run, which takes most of the chance out. Recursion: the waits of the very same
-arrivals and work by exact recursion, which leaves no chance at all."""
+Each mean wait is compared with three values. Theory: the formula, with the difference of the mean and the half-width of
+its 95 % confidence interval (Student's t over independent runs, the batch means method with independent batches).
+Sample: the difference from the formula with the rate and the moments of work as drawn in each run, which removes most
+of the random error. Recursion: the difference from the waits computed by exact recursion from the same arrivals and
+work, which has no random error."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 from slatelab.records import Began, Came, Record  # noqa: E402
 from slatelab.scenario import Scenario, parse  # noqa: E402
 
-MEAN_SERVICE_S = 0.1  # of the work
-ORDERS = 100_000  # a run
-WARM = 5_000  # of them left out
-BOUND = 0.03
+MEAN_SERVICE_S = 0.1
+ORDERS = 100_000  # per run
+WARM = 5_000  # first orders of a run, which are left out
+MAX_DIFFERENCE = 0.03  # of the mean from theory, relative
 
 
 @dataclass(frozen=True)
 class Cell:
-    """One queue: `servers`, their load, the work's distribution, and how many runs give a standard error of 1
-    %."""
+    """One queue: `servers`, their load, the work's distribution, and the number of runs that give a standard error of
+    1 %."""
 
     name: str
     servers: int
@@ -54,7 +54,7 @@
 
     @property
     def rate(self) -> float:
-        """Arrivals a second."""
+        """Arrivals per second."""
         return self.load * self.servers / MEAN_SERVICE_S
 
 
@@ -78,7 +78,7 @@
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The chance that one has to wait, in M/M/c at this load of each server (A. K. Erlang 1917; L. Kleinrock,
+    """Returns the probability of waiting in M/M/c at this load of each server (A. K. Erlang 1917; L. Kleinrock,
     Queueing Systems 1, 1975, section 3.5), from Erlang B by its recursion B(k) = a B(k-1) / (k + a
     B(k-1))."""
     offered, blocked = servers * load, 1.0
@@ -88,17 +88,17 @@
 
 
 def mean_wait(servers: int, rate: float, first: float, second: float) -> float:
-    """Seconds in the queue: servers 1, M/G/1 by Pollaczek and Khinchine, W = rate E[S^2] / (2 (1 - rho))
-    (Kleinrock, section 5.6); more, M/M/c by Erlang C, W = C / (c / E[S] - rate), where the work must be
+    """Returns the mean wait in seconds. One server: M/G/1 by Pollaczek and Khinchine, W = rate E[S^2] / (2 (1 - rho))
+    (Kleinrock, section 5.6). Several: M/M/c by Erlang C, W = C / (c / E[S] - rate), where the work must be
     exponential. `first` and `second` are the moments of the work S."""
     if servers == 1:
         return rate * second / (2 * (1 - rate * first))
     return erlang_c(servers, rate * first / servers) / (servers / first - rate)
 
 
-def exact(arrivals: Iterable[tuple[float, float]], servers: int) -> Iterator[float]:
-    """The wait of each (time, work), first come first served, by recursion on when each server is free (D. V.
-    Lindley 1952 for one; J. Kiefer and J. Wolfowitz 1955 for several)."""
+def exact_waits(arrivals: Iterable[tuple[float, float]], servers: int) -> Iterator[float]:
+    """Yields the wait of each (time, work), first come first served, by recursion on the times at which the servers
+    become free (D. V. Lindley 1952 for one; J. Kiefer and J. Wolfowitz 1955 for several)."""
     free = [0.0] * servers
     for t, work in arrivals:
         begins = max(t, free[0])
@@ -110,8 +110,8 @@
 
 
 def scenario(cell: Cell, orders: int) -> Scenario:
-    """Callers go straight to one node that works on as many at once as it has cores; nobody is turned away or
-    gives up, and nothing is on its way for long."""
+    """Returns a scenario in which callers connect directly to one node that serves as many requests at once as it has
+    cores. No request is refused or given up, and the network has no delay."""
     work = {"mean": f"{MEAN_SERVICE_S} s", "dist": cell.dist, "cv": cell.cv}
     kind = {
         "name": "node", "nodes": 1, "cores": cell.servers, "slots": cell.servers, "waiting": 100_000,
@@ -129,8 +129,7 @@
 
 
 def waits(records: Iterable[Record]) -> tuple[list[tuple[int, int]], list[int]]:
-    """When each attempt came and its work, and how long it waited, all in microseconds and in the order of
-    coming."""
+    """Returns arrival time and work of each attempt, and its wait, all in microseconds and in order of arrival."""
     came: dict[str, tuple[int, int]] = {}
     began: dict[str, int] = {}
     for fact in records:
@@ -142,18 +141,18 @@
 
 
 def simulate(cell: Cell, seed: int, orders: int = ORDERS, warm: int = WARM) -> dict[str, float]:
-    """The means of one run, in seconds: the wait, what theory makes of the moments as drawn, and the exact
-    one."""
+    """Returns the means of one run in seconds: the wait, the wait by theory from the moments as drawn, and the exact
+    wait; and the largest difference of a wait from the exact one, in microseconds."""
     arrivals, waited = waits(run(scenario(cell, orders), seed, Path("."), None).records)
-    precise = list(exact(arrivals, cell.servers))
+    exact = list(exact_waits(arrivals, cell.servers))
     kept = [work / 1e6 for _, work in arrivals[warm:]]
-    span = (arrivals[-1][0] - arrivals[warm][0]) / 1e6
+    duration_s = (arrivals[-1][0] - arrivals[warm][0]) / 1e6
     first, second = fmean(kept), fmean(work * work for work in kept)
     return {
         "wait": fmean(waited[warm:]) / 1e6,
-        "sample": mean_wait(cell.servers, (len(kept) - 1) / span, first, second),
-        "recursion": fmean(precise[warm:]) / 1e6,
-        "furthest_us": max(abs(a - b) for a, b in zip(waited, precise, strict=True)),
+        "sample": mean_wait(cell.servers, (len(kept) - 1) / duration_s, first, second),
+        "recursion": fmean(exact[warm:]) / 1e6,
+        "furthest_us": max(abs(a - b) for a, b in zip(waited, exact, strict=True)),
     }
 
 
@@ -161,7 +160,7 @@
 
 
 def interval(values: list[float]) -> tuple[float, float]:
-    """Mean and half-width of the 95 % confidence interval, by Student's t."""
+    """Returns mean and half-width of the 95 % confidence interval, by Student's t."""
     from scipy import stats
 
     mean = fmean(values)
@@ -172,16 +171,16 @@
 
 def line(cell: Cell, runs: list[dict[str, float]]) -> str:
     theory = mean_wait(cell.servers, cell.rate, MEAN_SERVICE_S, MEAN_SERVICE_S**2 * (1 + cell.cv**2))
-    mean, wide = interval([run["wait"] for run in runs])
+    mean, half_width = interval([run["wait"] for run in runs])
     sample = fmean(run["wait"] for run in runs) / fmean(run["sample"] for run in runs) - 1
     recursion = mean / fmean(run["recursion"] for run in runs) - 1
-    furthest = max(run["furthest_us"] for run in runs)
-    verdict = "ok" if abs(mean / theory - 1) <= BOUND else "OUT"
+    max_difference_us = max(run["furthest_us"] for run in runs)
+    verdict = "ok" if abs(mean / theory - 1) <= MAX_DIFFERENCE else "OUT"
     millions = len(runs) * (ORDERS - WARM) / 1e6
     return (
         f"{cell.name:<14} {cell.load:.1f} {millions:>6.2f}M {theory * 1e3:>9.2f} {mean * 1e3:>9.2f}"
-        f" {mean / theory - 1:>+7.2%} ±{wide / theory:>6.2%} {verdict:<4}{sample:>+7.2%} {recursion:>+9.4%}"
-        f" {furthest:>6.1f}"
+        f" {mean / theory - 1:>+7.2%} ±{half_width / theory:>6.2%} {verdict:<4}{sample:>+7.2%} {recursion:>+9.4%}"
+        f" {max_difference_us:>6.1f}"
     )
 
 
@@ -196,18 +195,18 @@
     return json.dumps(asdict(cell) | {"runs": 0})
 
 
-def played(
-    todo: list[tuple[Cell, int]], processes: int, end: float
+def completed_runs(
+    pending: list[tuple[Cell, int]], processes: int, end: float
 ) -> Iterator[tuple[Cell, int, dict[str, float]]]:
-    """Takes runs off the list until it is empty or the time is up, and sees those begun to their end."""
+    """Starts runs from the list until it is empty or the time is up, and yields the results of all started runs."""
     with ProcessPoolExecutor(processes) as pool:
-        under_way: dict[Future[dict[str, float]], tuple[Cell, int]] = {}
-        while under_way or (todo and time.monotonic() < end):
-            while todo and len(under_way) < processes and time.monotonic() < end:
-                cell, seed = todo.pop(0)
-                under_way[pool.submit(simulate, cell, seed)] = cell, seed
-            for future in wait(under_way, return_when=FIRST_COMPLETED).done:
-                yield *under_way.pop(future), future.result()
+        running: dict[Future[dict[str, float]], tuple[Cell, int]] = {}
+        while running or (pending and time.monotonic() < end):
+            while pending and len(running) < processes and time.monotonic() < end:
+                cell, seed = pending.pop(0)
+                running[pool.submit(simulate, cell, seed)] = cell, seed
+            for future in wait(running, return_when=FIRST_COMPLETED).done:
+                yield *running.pop(future), future.result()
 
 
 def main() -> None:
@@ -222,16 +221,18 @@
     arguments = parser.parse_args()
     texts = arguments.runs.read_text().splitlines() if arguments.runs.exists() else []
     kept = [json.loads(text) for text in texts]
-    have = {(one["cell"], one["seed"]) for one in kept}
-    # Turn by turn, so that all cells grow alike.
-    todo = [
+    finished = {(one["cell"], one["seed"]) for one in kept}
+    # In turns, so that the number of runs grows evenly in all cells.
+    pending = [
         (cell, seed)
         for turn in range(20)
         for cell in CELLS
         for seed in range(cell.runs * turn // 20, cell.runs * (turn + 1) // 20)
-        if (key(cell), seed) not in have
+        if (key(cell), seed) not in finished
     ]
-    for cell, seed, means in played(todo, arguments.processes, time.monotonic() + arguments.seconds):
+    for cell, seed, means in completed_runs(
+        pending, arguments.processes, time.monotonic() + arguments.seconds
+    ):
         kept.append({"cell": key(cell), "seed": seed, "means": means})
         with arguments.runs.open("a") as file:
             file.write(json.dumps(kept[-1]) + "\n")
@@ -239,7 +240,7 @@
     for one in kept:
         done.setdefault(one["cell"], []).append(one["means"])
     print("\n".join(table(done)))
-    print(f"{len(todo)} runs to go" if todo else "complete")
+    print(f"{len(pending)} runs to go" if pending else "complete")
 
 
 if __name__ == "__main__":
--- a/benchmarks/proxy_cost.py
+++ b/benchmarks/proxy_cost.py
@@ -1,5 +1,6 @@
-"""What one live proxy costs against a relay of the same language that decides nothing: requests a second, CPU for each
-and latency, both in one run on one core, against the same eight instant nodes. Needs four cores that nothing else uses.
+"""Benchmark of one live proxy against a relay in the same language that makes no decisions: requests per second, CPU
+per request and latency, both in one run on one core, with the same eight nodes that answer at once. Needs four idle
+cores.
 
     python benchmarks/proxy_cost.py [--connections 1,64,512] [--seconds 5] [--json FILE]"""
 
@@ -19,23 +20,23 @@
 @click.option("--seconds", default=5.0)
 @click.option("--json", "out", type=click.Path(path_type=Path))
 def main(connections: str, seconds: float, out: Path | None) -> None:
-    free = cores()
-    if len(free) < 4:
+    free_cores = cores()
+    if len(free_cores) < 4:
         raise click.ClickException("needs four cores")
     rows: list[dict[str, Any]] = []
-    with nodes(8, free[0]) as (members, discovery):
+    with nodes(8, free_cores[0]) as (members, discovery):
         for n in [int(x) for x in connections.split(",")]:
-            with started_process([sys.executable, "benchmarks/relay.py", *members], free[1]) as (
-                place,
+            with started_process([sys.executable, "benchmarks/relay.py", *members], free_cores[1]) as (
+                address,
                 process,
             ):
-                relay = closed_loop_load(place, n, seconds, free[2:4], process)
-            with proxy(members, discovery, free[1]) as (place, process):
-                ours = closed_loop_load(place, n, seconds, free[2:4], process)
+                relay_figures = closed_loop_load(address, n, seconds, free_cores[2:4], process)
+            with proxy(members, discovery, free_cores[1]) as (address, process):
+                proxy_figures = closed_loop_load(address, n, seconds, free_cores[2:4], process)
             row = {
-                "connections": n, "proxy": ours, "relay": relay,
-                "rate_ratio": round(ours["rate_per_s"] / relay["rate_per_s"], 3),
-                "cpu_ratio": round(ours["cpu_us"] / relay["cpu_us"], 2),
+                "connections": n, "proxy": proxy_figures, "relay": relay_figures,
+                "rate_ratio": round(proxy_figures["rate_per_s"] / relay_figures["rate_per_s"], 3),
+                "cpu_ratio": round(proxy_figures["cpu_us"] / relay_figures["cpu_us"], 2),
             }  # fmt: skip
             rows.append(row)
             click.echo(json.dumps(row))
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,6 +1,6 @@
-"""A relay of the same language that decides nothing: uvloop and httptools, each request to the next node in turn, over
-a connection of its own pool. A yardstick for what the language and the kernel cost; it checks nothing and must never
-be put to use. `python relay.py NODE [NODE ...]` listens on 127.0.0.1 and says where."""
+"""A relay in the same language that makes no decisions: uvloop and httptools, each request to the next node in turn,
+over a pooled connection. It is a baseline for the cost of the language and the kernel; it checks nothing and is not for
+production. `python relay.py NODE [NODE ...]` listens on 127.0.0.1 and prints its address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Upstream(asyncio.Protocol):
-    """One connection to a node; passes the answer on to whoever asked last."""
+    """One connection to a node; passes the answer to the client whose request was sent last."""
 
     def __init__(self, pool: list[Upstream]) -> None:
         self.pool = pool
@@ -43,8 +43,8 @@
 
 
 class Downstream(asyncio.Protocol):
-    def __init__(self, places: Any) -> None:
-        self.places = places
+    def __init__(self, targets: Any) -> None:
+        self.targets = targets
         self.parser: Any = httptools.HttpRequestParser(self)
         self.headers: list[bytes] = []
 
@@ -63,7 +63,7 @@
             self.headers.append(name + b": " + value + b"\r\n")
 
     def on_message_complete(self) -> None:
-        host, port, pool = next(self.places)
+        host, port, pool = next(self.targets)
         head = b"%b %b HTTP/1.1\r\nHost: %b\r\n" % (self.parser.get_method(), self.url, host.encode())
         request = head + b"".join(self.headers) + b"\r\n"
         if pool:
@@ -81,10 +81,10 @@
 
 
 async def main() -> None:
-    pairs = [place.rpartition(":") for place in sys.argv[1:]]
-    places = itertools.cycle([(host, int(port), list[Upstream]()) for host, _, port in pairs])
+    pairs = [address.rpartition(":") for address in sys.argv[1:]]
+    targets = itertools.cycle([(host, int(port), list[Upstream]()) for host, _, port in pairs])
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Downstream(places), "127.0.0.1", 0, backlog=4096)
+    server = await loop.create_server(lambda: Downstream(targets), "127.0.0.1", 0, backlog=4096)
     print(f"relay listens on 127.0.0.1:{server.sockets[0].getsockname()[1]}", file=sys.stderr, flush=True)
     await asyncio.Event().wait()
 
