--- a/tests/lab/fake_engine.py
+++ b/tests/lab/fake_engine.py
@@ -1,5 +1,5 @@
-"""An engine that plays nothing: it writes down a made-up day, the same for the same seed. For the tests of what comes
-after a run. It must never be imported by the package."""
+"""An engine that simulates nothing: it returns made-up records, the same for the same seed. It serves the tests of what
+follows a run, and is not imported by the package."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )  # fmt: skip
 from slatelab.scenario import Scenario
 
-DAY = """
+SCENARIO = """
 [scenario]
 name = "made-up"
 duration = "10 s"
@@ -53,47 +53,53 @@
 """
 
 
-def write(folder: Path, text: str = DAY) -> Path:
+def write_scenario(folder: Path, text: str = SCENARIO) -> Path:
     path = folder / "day.toml"
     path.write_text(text)
     return path
 
 
 def run(scenario: Scenario, seed: int, folder: Path, watch: ProgressCallback | None) -> Recording:
-    """A hundred orders at two nodes. `proxy.attempts` = 1 makes all a little slower, 2 breaks a rule: one is answered
-    twice."""
+    """Returns records of a hundred orders at two nodes. `proxy.attempts` = 1 makes all slower by 30 ms; 2 breaks a
+    rule: one order is answered twice."""
     rng = random.Random(seed)
-    slow = 30_000 if scenario.proxy.attempts == 1 else 0
+    extra_us = 30_000 if scenario.proxy.attempts == 1 else 0
     records: list[Record] = [ProxyUp(0, "p-front-0", 0)]
     for node in (0, 1):
         records += [Up(0, f"s-front-{node}", 0, 0, 1.0), Told(1, "p-front-0", f"s-front-{node}", "SERVING")]
     for n in range(100):
-        records += order(n, n * 100_000, rng.randrange(20_000, 60_000) + slow)
+        records += order_records(n, n * 100_000, rng.randrange(20_000, 60_000) + extra_us)
         if watch:
             watch(
                 ProgressSnapshot(n * 100_000, 10_000_000, n, n, 0, 0, (40_000,), (("s-front-0", "warm", 1),))
             )
-    mud = ("mud", "slow", ("s-front-1",))
-    records += [FaultBegan(3_000_000, *mud), FaultEnded(5_000_000, *mud)]
-    said = ("p-front-0", "warning", "nodes", "<script>alert(1)</script>")
-    records.append(Logged(3_100_000, *said, {"node": "s-front-1"}))
+    fault = ("mud", "slow", ("s-front-1",))
+    records += [FaultBegan(3_000_000, *fault), FaultEnded(5_000_000, *fault)]
+    line = ("p-front-0", "warning", "nodes", "<script>alert(1)</script>")
+    records.append(Logged(3_100_000, *line, {"node": "s-front-1"}))
     if scenario.proxy.attempts == 2:
         records.append(Answered(9_500_000, "o7.0", 200, "t7"))
     records.sort(key=lambda fact: fact.t)
     return Recording("model", seed, records, events=len(records))
 
 
-def order(n: int, at: int, took: int) -> list[Record]:
-    """One, from its sending to its answer; every tenth is refused."""
+def order_records(n: int, at: int, duration: int) -> list[Record]:
+    """Returns the records of one order, from its sending to its answer. Every tenth order is refused."""
     name, node = f"o{n}.0", f"s-front-{n % 2}"
-    asked = Asked(at, name, 0, "c1", "p-front-0", 0, "look", "etna", at, at + 6_000_000)
+    sent = Asked(at, name, 0, "c1", "p-front-0", 0, "look", "etna", at, at + 6_000_000)
     if n % 10 == 9:
-        return [asked, Answered(at + 1_000, name, 503)]
-    came = Came(at + 1_000, node, 0, name, "p-front-0", 20_000, at + 900)
-    made = Replied(at + took - 1_000, node, 0, name, "p-front-0", 200, token=f"t{n}")
-    return [asked, came, Began(at + 1_000, node, 0, name), made, Answered(at + took, name, 200, f"t{n}")]
+        return [sent, Answered(at + 1_000, name, 503)]
+    arrived = Came(at + 1_000, node, 0, name, "p-front-0", 20_000, at + 900)
+    replied = Replied(at + duration - 1_000, node, 0, name, "p-front-0", 200, token=f"t{n}")
+    return [
+        sent,
+        arrived,
+        Began(at + 1_000, node, 0, name),
+        replied,
+        Answered(at + duration, name, 200, f"t{n}"),
+    ]
 
 
 def install(monkeypatch: Any, engine: Any = run) -> None:
-    """In the place of the engine `model`, in this process."""
+    """Replaces the model engine in this process."""
     monkeypatch.setitem(sys.modules, "slatelab.model", SimpleNamespace(run=engine))
--- a/tests/lab/test_cli.py
+++ b/tests/lab/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what is printed where, and the exit code of each way a command can end."""
+"""The command line: what is printed where, and the exit code of each outcome of a command."""
 
 from __future__ import annotations
 
@@ -19,16 +19,20 @@
 
 
 @pytest.fixture
-def day(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def scenario_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     fake_engine.install(monkeypatch)
     monkeypatch.setenv("SLATELAB_RESULTS", str(tmp_path / "results"))
-    return fake_engine.write(tmp_path)
+    return fake_engine.write_scenario(tmp_path)
 
 
-def test_a_good_run_says_its_figures_and_writes_them(day: Path, tmp_path: Path) -> None:
+def test_a_run_prints_its_figures_and_writes_them(scenario_file: Path, tmp_path: Path) -> None:
     out = tmp_path / "one.json"
-    said = call("run", day, "--seed", 7, "--json", out, "--set", "proxy.attempts=3")
-    assert said.exit_code == 0 and "goodput 90.00 %" in said.stdout and "no rule was broken" in said.stdout
+    completed = call("run", scenario_file, "--seed", 7, "--json", out, "--set", "proxy.attempts=3")
+    assert (
+        completed.exit_code == 0
+        and "goodput 90.00 %" in completed.stdout
+        and "no rule was broken" in completed.stdout
+    )
     one = json.loads(out.read_text())
     assert (one["goodput"], one["violations"], one["requests"], one["served"], one["refused"]) == (
         0.9,
@@ -40,12 +44,12 @@
     assert one["seed"] == 7 and one["engine"] == "model" and len(one["trace_sha256"]) == 64
     assert list(one["latency_ms"]) == ["p50", "p90", "p99", "p999"] and 20 < one["latency_ms"]["p50"] < 60
     assert json.loads((Path(one["result"]) / "result.json").read_text())["changes"] == {"proxy.attempts": 3}
-    assert call("run", day, "--quiet").output == ""
+    assert call("run", scenario_file, "--quiet").output == ""
 
 
-def test_a_broken_rule_is_1_and_its_history_is_shown(day: Path, tmp_path: Path) -> None:
-    said = call("run", day, "--set", "proxy.attempts=2", "--quiet")
-    assert said.exit_code == 1 and "answered-once 1" in said.stderr
+def test_a_broken_rule_is_1_and_its_history_is_shown(scenario_file: Path, tmp_path: Path) -> None:
+    completed = call("run", scenario_file, "--set", "proxy.attempts=2", "--quiet")
+    assert completed.exit_code == 1 and "answered-once 1" in completed.stderr
     (folder,) = (tmp_path / "results").iterdir()
     assert "Answered" in call("show", folder).stdout
     listed = call("list")
@@ -53,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ('rate = "10/s"', 'rate = "10"', "day.toml: arrivals.0.rate: has the wrong unit"),
         ("nodes = 2", "nodes = 2\ncores = 0", "day.toml: tier.0.kind.0.cores: "),
@@ -62,20 +66,26 @@
         ("[scenario]", "[scenario", "day.toml: cannot be read"),
     ],
 )
-def test_check_and_run_name_file_key_and_reason(day: Path, old: str, new: str, said: str) -> None:
-    fake_engine.write(day.parent, fake_engine.DAY.replace(old, new))
+def test_check_and_run_name_file_key_and_reason(
+    scenario_file: Path, old: str, new: str, expected: str
+) -> None:
+    fake_engine.write_scenario(scenario_file.parent, fake_engine.SCENARIO.replace(old, new))
     for command in ("check", "run"):
-        got = call(command, day)
-        assert got.exit_code == 2 and said in got.stderr and "Traceback" not in got.stderr
+        result = call(command, scenario_file)
+        assert result.exit_code == 2 and expected in result.stderr and "Traceback" not in result.stderr
 
 
-def test_check_goes_through_all_files(day: Path) -> None:
-    got = call("check", day.parent / "none.toml", day)
-    assert got.exit_code == 2 and "none.toml: cannot be read" in got.stderr and "day.toml: well" in got.stdout
+def test_check_reads_all_files_after_an_error(scenario_file: Path) -> None:
+    result = call("check", scenario_file.parent / "none.toml", scenario_file)
+    assert (
+        result.exit_code == 2
+        and "none.toml: cannot be read" in result.stderr
+        and "day.toml: well" in result.stdout
+    )
 
 
 @pytest.mark.parametrize(
-    ("problem", "code", "said"),
+    ("error", "code", "expected"),
     [
         (InvalidRunError("the load ran late"), 3, "slatelab: the load ran late\n"),
         (
@@ -86,37 +96,37 @@
         (KeyboardInterrupt(), 130, "slatelab: interrupted\n"),
     ],
 )
-def test_a_run_that_cannot_be_trusted(
-    day: Path, monkeypatch: pytest.MonkeyPatch, problem: BaseException, code: int, said: str
+def test_a_failed_run_is_3_and_an_interrupted_one_130(
+    scenario_file: Path, monkeypatch: pytest.MonkeyPatch, error: BaseException, code: int, expected: str
 ) -> None:
-    def dies(*args: Any) -> Any:
-        raise problem
+    def fail(*args: Any) -> Any:
+        raise error
 
-    fake_engine.install(monkeypatch, dies)
-    got = call("run", day)
-    assert (got.exit_code, got.stderr) == (code, said)
+    fake_engine.install(monkeypatch, fail)
+    result = call("run", scenario_file)
+    assert (result.exit_code, result.stderr) == (code, expected)
 
 
 def test_a_fault_of_the_lab_is_not_taken_for_a_broken_rule(
-    day: Path, monkeypatch: pytest.MonkeyPatch
+    scenario_file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fake_engine.install(monkeypatch, lambda *args: 1 / 0)
-    got = call("run", day)
-    assert got.exit_code == 3 and "ZeroDivisionError" in got.stderr
+    result = call("run", scenario_file)
+    assert result.exit_code == 3 and "ZeroDivisionError" in result.stderr
 
 
-def test_results_that_cannot_be_written(day: Path, tmp_path: Path) -> None:
+def test_results_that_cannot_be_written(scenario_file: Path, tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    for place in (tmp_path / "file", "/proc/no/such"):
-        got = call("run", day, "--out", place)
-        assert got.exit_code == 3 and got.stderr.startswith("slatelab: results cannot be written to")
-    got = call("run", day, "--drop", "--json", tmp_path / "none" / "x.json")
-    assert got.exit_code == 3
+    for folder in (tmp_path / "file", "/proc/no/such"):
+        result = call("run", scenario_file, "--out", folder)
+        assert result.exit_code == 3 and result.stderr.startswith("slatelab: results cannot be written to")
+    result = call("run", scenario_file, "--drop", "--json", tmp_path / "none" / "x.json")
+    assert result.exit_code == 3
 
 
-def test_a_sweep_prints_and_writes_a_line_a_cell(day: Path, tmp_path: Path) -> None:
-    got = call("sweep", day, "--vary", "proxy.attempts=1,3", "--seeds", "1-3,9", "--jobs", 1)
-    assert got.exit_code == 0, got.output
+def test_a_sweep_prints_and_writes_a_line_a_cell(scenario_file: Path, tmp_path: Path) -> None:
+    result = call("sweep", scenario_file, "--vary", "proxy.attempts=1,3", "--seeds", "1-3,9", "--jobs", 1)
+    assert result.exit_code == 0, result.output
     (folder,) = (tmp_path / "results").iterdir()
     assert (
         folder.name.endswith("-made-up-model-sweep")
@@ -128,31 +138,45 @@
     assert not call("list").stderr  # a sweep is no broken result
 
 
-def test_a_sweep_reads_every_cell_before_the_first_run(day: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_sweep_reads_every_cell_before_the_first_run(
+    scenario_file: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fake_engine.install(monkeypatch, lambda *args: pytest.fail("it ran"))
-    got = call("sweep", day, "--vary", "proxy.attempts=1,99", "--jobs", 1)
-    assert got.exit_code == 2 and "proxy.attempts: Input should be less than" in got.stderr
-    assert call("sweep", day, "--seeds", "5-1").exit_code == 2
-    assert call("sweep", day, "--vary", "proxy.attempts").exit_code == 2
+    result = call("sweep", scenario_file, "--vary", "proxy.attempts=1,99", "--jobs", 1)
+    assert result.exit_code == 2 and "proxy.attempts: Input should be less than" in result.stderr
+    assert call("sweep", scenario_file, "--seeds", "5-1").exit_code == 2
+    assert call("sweep", scenario_file, "--vary", "proxy.attempts").exit_code == 2
 
 
-def test_a_comparison_tells_the_better_side_and_shows_broken_rules_first(day: Path) -> None:
-    got = call("compare", day, "--a-set", "proxy.attempts=1", "--seeds", "1-8", "--jobs", 1)
-    assert got.exit_code == 0, got.output
+def test_a_comparison_names_the_better_side_and_shows_broken_rules_first(scenario_file: Path) -> None:
+    result = call("compare", scenario_file, "--a-set", "proxy.attempts=1", "--seeds", "1-8", "--jobs", 1)
+    assert result.exit_code == 0, result.output
     rows = {
         line.split("│")[1].strip(): line.split("│")[-2].strip()
-        for line in got.stdout.splitlines()
+        for line in result.stdout.splitlines()
         if "│" in line
     }
     assert rows["p50 (ms)"] == rows["p99 (ms)"] == "better" and rows["goodput (%)"] == "cannot tell"
-    same = call("compare", day, "--seeds", "1-5", "--jobs", 1)
+    same = call("compare", scenario_file, "--seeds", "1-5", "--jobs", 1)
     assert "5 of 5 pairs are the same to the last byte" in same.stdout
-    broken = call("compare", day, "--b-set", "proxy.attempts=2", "--seeds", "1-2", "--jobs", 1)
+    broken = call("compare", scenario_file, "--b-set", "proxy.attempts=2", "--seeds", "1-2", "--jobs", 1)
     assert broken.exit_code == 1 and broken.stdout.startswith(
         "RULES BROKEN by work proxy.attempts=2 seed 1: 1: answered-once"
     )
 
 
-def test_a_side_that_is_none_is_2(day: Path) -> None:
-    got = call("compare", day, "--b", "no-such-revision")
-    assert got.exit_code == 2 and got.stderr.count("\n") == 1 and "no-such-revision" in got.stderr
+def test_an_unknown_side_is_2(scenario_file: Path) -> None:
+    result = call("compare", scenario_file, "--b", "no-such-revision")
+    assert result.exit_code == 2 and result.stderr.count("\n") == 1 and "no-such-revision" in result.stderr
+
+
+def test_a_side_whose_modules_have_other_names_is_2_with_the_model_engine(
+    scenario_file: Path, tmp_path: Path
+) -> None:
+    """A revision from before the modules were renamed would end in an ImportError deep in the engine."""
+    old = tmp_path / "old"
+    (old / "slatehub" / "core").mkdir(parents=True)
+    for words in (("compare", scenario_file, "--a", old), ("run", scenario_file, "--tree", old)):
+        result = call(*words)
+        assert result.exit_code == 2 and result.stderr.count("\n") == 1, result.output
+        assert "other names than this lab expects" in result.stderr and "use --engine live" in result.stderr
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -1,5 +1,5 @@
-"""What comes after a run: that a result is whole or not there, that statistics claim no more than they can,
-that many runs come back in order, and that another revision is what is run."""
+"""Experiments: a result is complete or absent, statistics claim no more than the data allow, the outcomes of many runs
+are returned in order, and a side of another revision runs that revision's code."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def job(tmp: Path, **more: Any) -> Job:
-    return Job(fake_engine.write(tmp), seed=3, results_folder=str(tmp / "results"), **more)
+    return Job(fake_engine.write_scenario(tmp), seed=3, results_folder=str(tmp / "results"), **more)
 
 
 # ---------------------------------------------------------------- results
 
 
-def test_a_kept_result_reads_back_whole_and_names_no_place(
+def test_a_kept_result_reads_back_complete_and_names_no_local_path(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fake_engine.install(monkeypatch)
@@ -48,47 +48,48 @@
 
 
 @pytest.mark.parametrize(
-    "problem",
+    "error",
     [InvalidRunError("a proxy died"), OSError(errno.EMFILE, "too many open files"), KeyboardInterrupt()],
 )
-def test_an_engine_that_dies_leaves_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, problem: BaseException
+def test_a_failed_run_leaves_no_result(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: BaseException
 ) -> None:
-    def dies(*args: Any) -> Any:
-        assert list((tmp_path / "results").iterdir())  # it dies in the middle: the draft is there
-        raise problem
+    def fail(*args: Any) -> Any:
+        assert list((tmp_path / "results").iterdir())  # it fails during the run: the draft exists
+        raise error
 
-    fake_engine.install(monkeypatch, dies)
-    with pytest.raises(KeyboardInterrupt if isinstance(problem, KeyboardInterrupt) else InvalidRunError):
+    fake_engine.install(monkeypatch, fail)
+    with pytest.raises(KeyboardInterrupt if isinstance(error, KeyboardInterrupt) else InvalidRunError):
         run(job(tmp_path))
     assert not list((tmp_path / "results").iterdir())
 
 
 @pytest.mark.parametrize("call", ["fsync", "rename"])
-def test_a_disk_that_fills_up_leaves_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
-) -> None:
-    def full(*args: Any) -> None:
+def test_a_full_disk_leaves_no_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str) -> None:
+    def disk_full(*args: Any) -> None:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     fake_engine.install(monkeypatch)
-    monkeypatch.setattr(results.os, call, full)
+    monkeypatch.setattr(results.os, call, disk_full)
     with pytest.raises(results.ResultWriteError, match="No space left"):
         run(job(tmp_path))
     assert not list((tmp_path / "results").iterdir())
 
 
-def test_all_is_on_the_disk_before_it_gets_its_name(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_result_is_synced_before_it_is_renamed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     calls: list[str] = []
     for name in ("fsync", "rename"):
         real = getattr(os, name)
         monkeypatch.setattr(results.os, name, lambda *args, n=name, f=real: (calls.append(n), f(*args))[1])
     fake_engine.install(monkeypatch)
     run(job(tmp_path))
-    assert calls == ["fsync"] * 4 + ["rename", "fsync"]  # three files and their folder; then the folder above
+    assert calls == ["fsync"] * 4 + [
+        "rename",
+        "fsync",
+    ]  # three files and their folder; then the parent folder
 
 
-def test_a_place_that_cannot_be_written_to_is_said_before_the_run(
+def test_a_folder_that_cannot_be_written_to_is_reported_before_the_run(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fake_engine.install(monkeypatch, lambda *args: pytest.fail("it ran"))
@@ -97,10 +98,10 @@
         run(job(tmp_path))
 
 
-def test_only_whole_results_are_listed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_complete_results_are_listed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     fake_engine.install(monkeypatch)
     first, second = run(job(tmp_path)), run(job(tmp_path))
-    assert first.result != second.result  # of the same second, and both there
+    assert first.result != second.result  # two results of the same second
     half = Path(second.result) / "result.json"
     half.write_bytes(half.read_bytes()[:-100])
     (tmp_path / "results" / ".partial-x").mkdir()
@@ -118,10 +119,10 @@
     assert not list(results.records(tmp_path / "r")) and not list((tmp_path / "r").iterdir())
 
 
-def test_what_an_entry_does_next_ends_what_it_did_before_to_the_same_targets(
+def test_the_next_fault_of_an_entry_ends_its_previous_one_on_the_same_targets(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def two(*args: Any) -> Any:
+    def overlapping_faults(*args: Any) -> Any:
         recording = fake_engine.run(*args)
         recording.records = [
             FaultBegan(1, "mud", "slow", ("a",)),
@@ -134,7 +135,7 @@
         ]
         return recording
 
-    fake_engine.install(monkeypatch, two)
+    fake_engine.install(monkeypatch, overlapping_faults)
     troubles = run_with_records(job(tmp_path)).result.troubles
     assert [(one.kind, *one.targets, one.begin, one.end) for one in troubles] == [
         ("slow", "a", 1, None),
@@ -157,7 +158,7 @@
         (P99, [0.9, 0.91, 0.93, 0.9, 0.92], "worse"),
         (GOODPUT, [0.4, 0.42, 0.39, 0.45, 0.4], "worse"),
         (GOODPUT, [0.9, 0.4, 0.8, 0.5, 0.62], "cannot tell"),
-        (GOODPUT, [0.6, 0.61, 0.62, 0.6, 0.6], "cannot tell"),  # the same on both sides
+        (GOODPUT, [0.6, 0.61, 0.62, 0.6, 0.6], "cannot tell"),  # the same values on both sides
         (GOODPUT, [0.9, 0.91, 0.93, None, None], "cannot tell"),  # too few pairs are left
     ],
 )
@@ -192,8 +193,8 @@
 # ---------------------------------------------------------------- many runs
 
 
-def told(one: Job) -> batch.Outcome:
-    """Stands in for a run: the seed says how it ends, and the earlier the later."""
+def stub_run(one: Job) -> batch.Outcome:
+    """Stands in for a run: the seed determines how it ends; the first seeds take the longest."""
     seed = one.seed or 0
     if seed == 13:
         os._exit(9)
@@ -226,13 +227,15 @@
 VARY = [("proxy.attempts", [2, 4]), ("proxy.probes", [True, False])]
 
 
-def test_a_sweep_keeps_its_order_whichever_run_ends_first(tmp_path: Path) -> None:
-    base = Job(fake_engine.write(tmp_path))
+def test_a_sweep_keeps_its_order_when_runs_end_out_of_order(tmp_path: Path) -> None:
+    base = Job(fake_engine.write_scenario(tmp_path))
     plan = sweep.jobs(base, VARY, [1, 2, 3])
     ended: list[int] = []
-    whole = sweep.table(base, VARY, [1, 2, 3], batch.run_all(plan, 3, lambda i, one: ended.append(i), told))
-    assert ended != sorted(ended)  # else this test shows nothing
-    assert whole == sweep.table(base, VARY, [1, 2, 3], [told(one) for one in plan])
+    whole = sweep.table(
+        base, VARY, [1, 2, 3], batch.run_all(plan, 3, lambda i, one: ended.append(i), stub_run)
+    )
+    assert ended != sorted(ended)  # otherwise this test shows nothing
+    assert whole == sweep.table(base, VARY, [1, 2, 3], [stub_run(one) for one in plan])
     assert [tuple(row.settings.values()) for row in whole.rows] == [
         (2, True),
         (2, False),
@@ -248,13 +251,13 @@
     assert lines[1].startswith("2,True,3,0,0.48,")
 
 
-def test_a_worker_that_dies_spoils_its_run_and_hangs_nothing(tmp_path: Path) -> None:
-    plan = sweep.jobs(Job(fake_engine.write(tmp_path)), [], [13, 13])
-    assert batch.run_all(plan, 2, run_job=told) == [batch.FailedRun("a worker process died", 3)] * 2
+def test_a_worker_that_dies_fails_its_run_and_blocks_nothing(tmp_path: Path) -> None:
+    plan = sweep.jobs(Job(fake_engine.write_scenario(tmp_path)), [], [13, 13])
+    assert batch.run_all(plan, 2, run_job=stub_run) == [batch.FailedRun("a worker process died", 3)] * 2
 
 
-def test_pairs_stay_pairs_and_a_spoiled_one_counts_nowhere(tmp_path: Path) -> None:
-    a = Job(fake_engine.write(tmp_path))
+def test_pairs_are_kept_and_a_pair_with_a_failed_run_is_left_out(tmp_path: Path) -> None:
+    a = Job(fake_engine.write_scenario(tmp_path))
     b = Job(a.file, overrides=(("proxy.attempts", 2),))
     plan = compare.jobs(a, b, range(9))
     assert [bool(one.overrides) for one in plan[:4]] == [
@@ -262,8 +265,8 @@
         True,
         True,
         False,
-    ]  # neither side always goes first
-    whole = compare.compare("work", "two", a, range(9), [told(one) for one in plan])
+    ]  # the side that runs first alternates
+    whole = compare.compare("work", "two", a, range(9), [stub_run(one) for one in plan])
     goodput = whole.lines[0]
     assert (
         goodput.difference.n == 8
@@ -282,32 +285,32 @@
 def repository(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     """A small repository whose slatehub has three revisions: `old` has no core, `other-names` has no
     core/dispatcher.py, the last one has both."""
-    home = tmp_path / "home"
+    folder = tmp_path / "home"
     for name in ("slatehub/core", "paddlestep"):
-        (home / name).mkdir(parents=True)
-    (home / "slatehub" / "__init__.py").write_text("version = 'old'\n")
-    (home / "paddlestep" / "__init__.py").write_text("")
+        (folder / name).mkdir(parents=True)
+    (folder / "slatehub" / "__init__.py").write_text("version = 'old'\n")
+    (folder / "paddlestep" / "__init__.py").write_text("")
 
     def git(*words: str) -> None:
         subprocess.run(
-            ["git", "-C", str(home), "-c", "user.name=t", "-c", "user.email=t@t", *words], check=True
+            ["git", "-C", str(folder), "-c", "user.name=t", "-c", "user.email=t@t", *words], check=True
         )
 
     git("init", "-q")
     git("add", ".")
     git("commit", "-qm", "old")
     git("tag", "old")
-    (home / "slatehub" / "core" / "__init__.py").write_text("")
+    (folder / "slatehub" / "core" / "__init__.py").write_text("")
     git("add", ".")
     git("commit", "-qm", "other names")
     git("tag", "other-names")
-    (home / "slatehub" / "core" / "dispatcher.py").write_text("")
-    (home / "slatehub" / "__init__.py").write_text("version = 'committed'\n")
+    (folder / "slatehub" / "core" / "dispatcher.py").write_text("")
+    (folder / "slatehub" / "__init__.py").write_text("version = 'committed'\n")
     git("add", ".")
     git("commit", "-qm", "new")
-    (home / "slatehub" / "__init__.py").write_text("version = 'uncommitted'\n")
-    monkeypatch.setattr(revisions, "REPOSITORY", home)
-    return home
+    (folder / "slatehub" / "__init__.py").write_text("version = 'uncommitted'\n")
+    monkeypatch.setattr(revisions, "REPOSITORY", folder)
+    return folder
 
 
 def test_a_revision_is_what_was_committed_and_leaves_nothing_behind(repository: Path, tmp_path: Path) -> None:
@@ -318,10 +321,10 @@
     lab = Path(__file__).parents[2]
     code = "import slatehub, slatelab; print(slatehub.version, slatelab.__file__)"
     env = batch.child_environment(Job(tmp_path, python_path=(paths[0], lab)))
-    said = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-P", "-B", "-c", code], env=env, cwd=lab, capture_output=True, text=True
     )
-    assert said.stdout.split() == ["committed", str(lab / "slatelab" / "__init__.py")], said.stderr
+    assert completed.stdout.split() == ["committed", str(lab / "slatelab" / "__init__.py")], completed.stderr
     assert revisions.repository_state() == (side.tested, True)
     trees = subprocess.run(
         ["git", "-C", str(repository), "worktree", "list"], capture_output=True, text=True
@@ -339,7 +342,7 @@
         ("/usr/bin", "live", "no slatehub in this folder"),
     ],
 )
-def test_a_side_that_cannot_be_run_says_why(
+def test_a_side_that_cannot_be_run_is_refused_with_the_reason(
     repository: Path, tmp_path: Path, name: str, engine: str, reason: str
 ) -> None:
     with pytest.raises(revisions.UnknownSideError, match=reason):
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -1,5 +1,5 @@
-"""The report: that the page needs nothing else and hides nothing, that curves and windows show what was
-measured."""
+"""The report: the page is self-contained and shows broken rules and faults; curves and windows show the measured
+values."""
 
 from __future__ import annotations
 
@@ -22,16 +22,14 @@
 
 @pytest.fixture
 def result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> results.Result:
-    """A day on which a rule was broken and a proxy logged what looks like a script."""
+    """A run in which a rule was broken and a proxy logged text that looks like a script."""
     fake_engine.install(monkeypatch)
     return run_with_records(
-        Job(fake_engine.write(tmp_path), seed=1, overrides=(("proxy.attempts", 2),))
+        Job(fake_engine.write_scenario(tmp_path), seed=1, overrides=(("proxy.attempts", 2),))
     ).result
 
 
-def test_the_page_needs_nothing_else_and_tells_the_broken_rule(
-    result: results.Result, tmp_path: Path
-) -> None:
+def test_the_page_is_self_contained_and_names_the_broken_rule(result: results.Result, tmp_path: Path) -> None:
     path = page.write_report([(tmp_path, result)], tmp_path / "report")
     text = path.read_text()
     assert not re.search(r"https?:|<script|<link|@import|url\(", text)
@@ -41,28 +39,30 @@
     assert text.count("<img ") == len(plots.PLOTS) == len(list((tmp_path / "report").glob("*.png")))
 
 
-def test_pictures_hold_a_picture(result: results.Result, tmp_path: Path) -> None:
-    seen = view.build_view(result, view.load_figures(result, tmp_path))
+def test_plots_are_not_blank(result: results.Result, tmp_path: Path) -> None:
+    full_view = view.build_view(result, view.load_figures(result, tmp_path))
     for name, (_, draw) in plots.PLOTS.items():
         for sides in (1, 2):
-            image = Image.open(io.BytesIO(draw([seen] * sides, ["a", "b"][:sides])))
+            image = Image.open(io.BytesIO(draw([full_view] * sides, ["a", "b"][:sides])))
             colours = image.convert("RGB").getcolors(1 << 24) or []
             assert image.width > 900 and len(colours) > 50, name
 
 
-def test_a_day_without_any_order_can_be_drawn(result: results.Result, tmp_path: Path) -> None:
-    """Nothing served, no node heard of: no curve, no bar, an empty map."""
-    seen = view.build_view(result, view.load_figures(result, tmp_path))
-    bare = replace(seen, curves={}, nodes=[], work=[], held=[], attempts=[], faults=[], goodput=[None] * 10)
+def test_a_run_without_orders_can_be_drawn(result: results.Result, tmp_path: Path) -> None:
+    """Nothing was served and no node is known: no curve, no bar, an empty heat map."""
+    full_view = view.build_view(result, view.load_figures(result, tmp_path))
+    empty_view = replace(
+        full_view, curves={}, nodes=[], work=[], held=[], attempts=[], faults=[], goodput=[None] * 10
+    )
     for _, draw in plots.PLOTS.values():
-        assert draw([bare], [""]).startswith(b"\x89PNG")
+        assert draw([empty_view], [""]).startswith(b"\x89PNG")
 
 
 def test_two_results_show_their_differences(
     result: results.Result, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slower = run_with_records(
-        Job(fake_engine.write(tmp_path), seed=1, overrides=(("proxy.attempts", 1),))
+        Job(fake_engine.write_scenario(tmp_path), seed=1, overrides=(("proxy.attempts", 1),))
     ).result
     text = page.write_report([(tmp_path, slower), (tmp_path, result)], tmp_path / "two").read_text()
     row = re.search(r"<tr><td>p50 \(ms\)</td>(.*?)</tr>", text)
@@ -87,12 +87,12 @@
     latency = view.load_figures(result, tmp_path).latency
     points = view.curve(latency)
     for share, ms in ((0.5, latency.p50), (0.9, latency.p90)):
-        after = next(value for at, value in points if at >= share - 1e-9)
-        assert after == pytest.approx(ms, rel=0.02)
+        latency_ms = next(value for point, value in points if point >= share - 1e-9)
+        assert latency_ms == pytest.approx(ms, rel=0.02)
     assert points == sorted(points) and points[-1][0] == pytest.approx(1 - 1 / latency.count)
 
 
-def test_the_live_window_forgets_and_the_plain_line_comes_once_a_second() -> None:
+def test_the_window_drops_old_values_and_a_plain_line_comes_once_a_second() -> None:
     window = progress.SlidingWindow()
     for second in range(60):
         old = 900_000 if second < 50 else 10_000
@@ -108,7 +108,7 @@
     assert len(out.getvalue().splitlines()) == 5 and "nodes 1, 1 not as usual" in out.getvalue()
 
 
-def test_the_table_shows_what_is_not_as_usual_and_counts_the_rest() -> None:
+def test_the_table_lists_unusual_nodes_and_counts_the_rest() -> None:
     from rich.console import Console
 
     nodes = tuple((f"s-{i}", "warm", i) for i in range(40)) + (("s-[red]x", "down", 0),)
