--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -1,7 +1,7 @@
 """Benchmark of the model engine: simulated events and requests per second of wall time, and memory, for plants of 10 to
 2,000 nodes with a proxy for every ten nodes. The sizes run one at a time.
 
-    flock -s /tmp/cores.lock python benchmarks/model_speed.py [NODES ...]
+    python benchmarks/model_speed.py [NODES ...]
 
 Every size runs in a process of its own, so that its memory does not include another's. `module` is the share of the
 time spent in the decision module, which is the same code as in production; the rest is the engine and the records."""
--- a/benchmarks/model_theory.py
+++ b/benchmarks/model_theory.py
@@ -2,7 +2,7 @@
 connect directly. This module has the formulas and the statistics. A wait is taken from the records, from Came to Began,
 not from the engine's state.
 
-    flock -s /tmp/cores.lock python benchmarks/model_theory.py --for 170 --runs /tmp/theory.jsonl
+    python benchmarks/model_theory.py --for 170 --runs /tmp/theory.jsonl
 
 simulates for the given number of seconds, appends the means of each run to the file, and prints the table of all runs
 in the file; another call continues. Full accuracy takes some 80 million orders, an hour and a half of one core.
