--- a/tests/audit.py
+++ b/tests/audit.py
@@ -1,5 +1,5 @@
-"""The audit at the end of tests. It turns the events that callers, nodes and discovery observed into facts for the
-lab's judge, and checks that all counts of an idle desk are back at zero. All other rules are the judge's."""
+"""The audit at the end of tests. It converts the events that callers, nodes and discovery observed into facts for the
+lab's judge, and checks that all counts of an idle dispatcher are back at zero. The judge checks all other rules."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 from slatelab.scenario import parse
 
-NEVER_CAME = (Status.CONNECT_FAILED, Status.MOOT)
-SAID = {Status.OK: 200, Status.ERROR: 500, Status.FULL: 503}
+NEVER_ARRIVED = (Status.CONNECT_FAILED, Status.MOOT)
+HTTP_STATUS = {Status.OK: 200, Status.ERROR: 500, Status.FULL: 503}
 
 
 class Audit:
@@ -80,14 +80,19 @@
         self.facts.append(Replied(t, node, life, request, "p", status, turned, token))
 
     def ended(self, t: int, attempt: Attempt, status: Status, token: str) -> None:
-        """An attempt of a desk has ended. The facts about its node follow from the status."""
-        if status in NEVER_CAME:
+        """An attempt of a dispatcher has ended. The facts about its node follow from the status."""
+        if status in NEVER_ARRIVED:
             return
         node, request = str(attempt.endpoint), attempt.job.request_id
         self.came(attempt.sent_at, node, request)
-        if status in SAID:
+        if status in HTTP_STATUS:
             self.replied(
-                t, node, request, SAID[status], status is Status.FULL, token if status is Status.OK else ""
+                t,
+                node,
+                request,
+                HTTP_STATUS[status],
+                status is Status.FULL,
+                token if status is Status.OK else "",
             )
         else:
             self.facts.append(
@@ -107,30 +112,31 @@
     def crashed(self, t: int) -> None:
         self.facts.append(ProxyDown(t, "p", "crashed"))
 
-    # ------------------------------------------------------------ the ruling
+    # ------------------------------------------------------------ verdict
 
     def check(self) -> None:
         ruling = judge(self.scenario, self.facts)
         assert ruling.passed, "\n".join(f"{ruling.counts}\n{v.explain()}" for v in ruling.violations[:3])
 
 
-def at_rest(desk: Dispatcher) -> None:
-    """Checks a desk without jobs: no count may be left over, and the sums must equal those of the present servers."""
-    module = desk.balancer
+def assert_idle(dispatcher: Dispatcher) -> None:
+    """Checks a dispatcher without jobs: every count must be back at zero, and the sums must equal those of the present
+    servers."""
+    module = dispatcher.balancer
     assert (
-        not desk.job_table.jobs
-        and not desk.job_table.by_request_id
-        and desk.job_table.next_deadline() is None
+        not dispatcher.job_table.jobs
+        and not dispatcher.job_table.by_request_id
+        and dispatcher.job_table.next_deadline() is None
     ), "jobs are kept"
     assert not module.requests and not module.waiting and not module.in_flight, "the module counts requests"
     assert all(s.in_flight == 0 for s in module.servers.values()), "calls in flight are counted at a server"
-    assert len(desk.timers) == len(desk.timer_tokens) <= 4, "timers pile up"
-    assert all(module.concurrency_limit(s) >= 1 for s in module.ready), "a server may have no call"
+    assert len(dispatcher.timers) == len(dispatcher.timer_tokens) <= 4, "timers accumulate"
+    assert all(module.concurrency_limit(s) >= 1 for s in module.ready), "a server is not allowed any call"
     open_now = [s for s in module.ready if max(s.ejected_until, s.paused_until) <= module.now]
     for s in module.servers.values():
         module.refresh_sums(s)
     assert abs(module.slots - sum(module.concurrency_share(s) for s in open_now)) < 1e-6, (
-        "slots of servers that are not there"
+        "the slots include servers that are not present"
     )
     assert module.ejected_count == sum(s.ejected_until > module.now for s in module.ready), (
         "ejections are miscounted"
--- a/tests/test_after_trouble.py
+++ b/tests/test_after_trouble.py
@@ -1,5 +1,5 @@
 """The first seconds after faults end: the decision module alone, step by step, and whole scenarios of the lab on
-virtual time with the real desk and module of every proxy. The lab's judge checks each scenario."""
+virtual time with the real dispatcher and decision module of every proxy. The lab's judge checks each scenario."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from audit import at_rest
+from audit import assert_idle
 from helpers import MS, SAFE, Driver, S, sends, settings
 
 from paddlestep import Effect, Entry, ListKind, ListUpdate, Outcome, ServiceClass, State, Status
@@ -293,16 +293,16 @@
         finish(module, request)
 
     monkeypatch.setattr(Balancer, "finish_unserved", looked)
-    day = scenario(TROUBLES[name])
-    play = Simulation(day, seed, Path(), None)
-    desks: list[Any] = []
+    parsed_scenario = scenario(TROUBLES[name])
+    simulation = Simulation(parsed_scenario, seed, Path(), None)
+    dispatchers: list[Any] = []
     seen: dict[str, int] = {}
 
-    def look() -> None:
+    def check_modules() -> None:
         """Near the end: no node is ejected, the slots are complete and each node may have a call."""
-        for post in play.context.proxy_supervisors.values():
+        for post in simulation.context.proxy_supervisors.values():
             assert post.proxy
-            desks.append(post.proxy.dispatcher)
+            dispatchers.append(post.proxy.dispatcher)
             module = post.proxy.dispatcher.balancer
             assert len(module.ready) == 4 and all(module.concurrency_limit(s) >= 1 for s in module.ready)
             assert not [s for s in module.ready if s.ejected_until > module.now or s.ejection_count > 1], (
@@ -311,11 +311,11 @@
             assert module.slots > 0.9 * sum(module.concurrency_share(s) for s in module.ready)
             seen["looked"] = seen.get("looked", 0) + 1
 
-    play.context.clock.call_at(LAST - 500 * MS, look)
-    play.run()
-    facts = play.context.records
+    simulation.context.clock.call_at(LAST - 500 * MS, check_modules)
+    simulation.run()
+    facts = simulation.context.records
     assert seen == {"looked": 2}
-    ruling = judge(day, facts)
+    ruling = judge(parsed_scenario, facts)
     assert ruling.passed, "\n".join(v.explain() for v in ruling.violations[:2])
     asked = {f.request: f.t for f in facts if isinstance(f, r.Asked)}
     late = [f for f in facts if isinstance(f, r.Answered) and asked[f.request] > CALM]
@@ -324,5 +324,5 @@
     assert len({node for node, _ in works}) == 4, "a node gets nothing any more"
     calm = [t for t, _ in idle if t - EPOCH_UNIX_US > ENDED]
     assert not calm, f"{len(calm)} refused while servers were idle"
-    for desk in desks:
-        at_rest(desk)
+    for dispatcher in dispatchers:
+        assert_idle(dispatcher)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from audit import Audit, at_rest
+from audit import Audit, assert_idle
 from helpers import UNSAFE, settings
 
 from paddlestep.interface import Entry, ListKind
@@ -56,13 +56,13 @@
 }  # fmt: skip
 
 
-WHOLE = (
+SCENARIO_RULES = (
     "fleet-attempts",
     "worth-inverted",
-)  # held to a limit of a scenario: tests/lab/test_peers_of_scenarios.py
+)  # checked against a limit of a scenario in tests/lab/test_peers_of_scenarios.py
 
 
-@pytest.mark.parametrize("rule", [rule for rule in RULES if rule not in WHOLE])
+@pytest.mark.parametrize("rule", [rule for rule in RULES if rule not in SCENARIO_RULES])
 def test_the_audit_names_the_rule_that_is_broken(rule: str) -> None:
     clean, broken = (Audit(("look",), ("buy",)) for _ in range(2))
     for one in (clean, broken):
@@ -74,11 +74,11 @@
         broken.check()
 
 
-def idle_desk() -> Dispatcher:
-    desk = Dispatcher(settings(UNSAFE), 1, 10)
-    desk.update_nodes(S, ListKind.FULL, 1, (Entry(1), Entry(2)))
-    desk.process_batch(S)
-    return desk
+def idle_dispatcher() -> Dispatcher:
+    dispatcher = Dispatcher(settings(UNSAFE), 1, 10)
+    dispatcher.update_nodes(S, ListKind.FULL, 1, (Entry(1), Entry(2)))
+    dispatcher.process_batch(S)
+    return dispatcher
 
 
 @pytest.mark.parametrize(
@@ -93,8 +93,8 @@
     ],
 )
 def test_a_count_that_does_not_return_is_seen(wrong: Callable[[Dispatcher], None]) -> None:
-    at_rest(idle_desk())
-    desk = idle_desk()
-    wrong(desk)
+    assert_idle(idle_dispatcher())
+    dispatcher = idle_dispatcher()
+    wrong(dispatcher)
     with pytest.raises((AssertionError, AttributeError)):
-        at_rest(desk)
+        assert_idle(dispatcher)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -5,7 +5,7 @@
 
 from dataclasses import replace
 
-from audit import Audit, at_rest
+from audit import Audit, assert_idle
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -228,7 +228,7 @@
 
     def teardown(self) -> None:
         self.wait(5_000_000)
-        at_rest(self.dispatcher)
+        assert_idle(self.dispatcher)
         self.audit.check()
 
 
@@ -251,7 +251,7 @@
         assert answer is AnswerStatus.FAILED and not dispatcher.job_table.jobs
         setattr(dispatcher, stage_name, original)
         dispatcher.process_batch(3)
-    at_rest(dispatcher)
+    assert_idle(dispatcher)
 
 
 def test_timers_for_one_distant_moment_do_not_pile_up() -> None:
--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -13,7 +13,7 @@
 
 import gevent
 import pytest
-from audit import at_rest
+from audit import assert_idle
 from gevent import socket
 from proxy_rig import SAFE_CLASS, build_request, running_proxy, wait_until
 from test_line import (
@@ -110,7 +110,7 @@
     rig.driver.attempt_ended(rig.attempts[-1], Status.OK, (), "print")
     run_event_loop()
     assert rig.answers[-1] == ("b", Answer(AnswerStatus.SERVED, "print"))
-    at_rest(rig.dispatcher)
+    assert_idle(rig.dispatcher)
 
 
 REQUEST = b"POST /orders HTTP/1.1\r\nX-Request-ID: %s\r\nX-Priority-Class: orders\r\nX-Timeout: 9000m\r\n\r\n"
@@ -142,7 +142,7 @@
     caller.close()
     while http_server.connections:
         gevent.sleep(0.001)
-    at_rest(rig.dispatcher)
+    assert_idle(rig.dispatcher)
 
 
 def test_a_fault_while_reading_ends_that_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
