--- a/slatehub/observe/recorder.py
+++ b/slatehub/observe/recorder.py
@@ -73,8 +73,8 @@
     ) -> None:
         self.balancer = balancer
         self.nodes = nodes
-        self.encoder = flight.Writer()
-        self.ring: Ring | None = Ring(batches, flight.freeze(balancer()))
+        self.encoder = flight.BatchEncoder()
+        self.ring: Ring | None = Ring(batches, flight.serialize_balancer(balancer()))
         self.info: RecordingInfo = ("", 0, "", "")
         self.folder, self.keep = "", 1
         self.last_fault_file_s = -MIN_FAULT_FILE_INTERVAL_S
@@ -94,9 +94,9 @@
         if self.ring is None:
             return
         try:
-            full = self.ring.add(now, self.encoder.batch(now, names, events, actions))
+            full = self.ring.add(now, self.encoder.encode_batch(now, names, events, actions))
             if full and actions is not None:  # a failed module's state is no valid start of a recording
-                self.ring.begin(flight.freeze(self.balancer()))
+                self.ring.begin(flight.serialize_balancer(self.balancer()))
         except Exception as problem:
             self._disable(problem)
 
@@ -108,7 +108,7 @@
             self.last_fault_file_s = now
         try:
             if self.ring:
-                self.ring = Ring(self.ring.max_batches, flight.freeze(self.balancer()))
+                self.ring = Ring(self.ring.max_batches, flight.serialize_balancer(self.balancer()))
         except Exception as own:
             self._disable(own)
 
@@ -126,9 +126,9 @@
             log_event("recorder", f"still writing the last file: none for {reason}", "warning")
         else:
             now = datetime.now(UTC)
-            head, pieces = self._contents(self.ring.generations(), now, reason, problem)
-            name = f"{_file_safe(head.proxy)}-{now:%Y%m%dT%H%M%S.%fZ}-{reason}.flight"
-            self.write_greenlet = gevent.spawn(self._write_in_thread, name, head, pieces)
+            header, pieces = self._contents(self.ring.generations(), now, reason, problem)
+            name = f"{_file_safe(header.proxy)}-{now:%Y%m%dT%H%M%S.%fZ}-{reason}.flight"
+            self.write_greenlet = gevent.spawn(self._write_in_thread, name, header, pieces)
             return True
         return False
 
@@ -144,19 +144,19 @@
 
     def _contents(
         self, generations: list[Generation], now: datetime, reason: str, problem: str
-    ) -> tuple[flight.Head, Iterable[bytes]]:
+    ) -> tuple[flight.RecordingHeader, Iterable[bytes]]:
         batches = [batch for generation in generations for batch in generation.batches]
-        head = flight.Head(
+        header = flight.RecordingHeader(
             *self.info, platform.python_version(), reason, problem,
             now.isoformat(timespec="milliseconds").replace("+00:00", "Z"), len(batches),
             generations[0].first, max(generation.last for generation in generations), flight.kinds(),
         )  # fmt: skip
-        return head, flight.layout(head, generations[0].state, dict(self.nodes()), batches)
+        return header, flight.encode_file(header, generations[0].state, dict(self.nodes()), batches)
 
-    def _write_in_thread(self, name: str, head: flight.Head, pieces: Iterable[bytes]) -> None:
-        own = re.compile(rf"\.?{_file_safe(head.proxy)}-\d{{8}}T[\d.]+Z-[a-z]+\.flight(\.part)?")
+    def _write_in_thread(self, name: str, header: flight.RecordingHeader, pieces: Iterable[bytes]) -> None:
+        own = re.compile(rf"\.?{_file_safe(header.proxy)}-\d{{8}}T[\d.]+Z-[a-z]+\.flight(\.part)?")
         path = os.path.join(self.folder, name)
-        fields: dict[str, Any] = {"file": path, "reason": head.reason, "batches": head.batches}
+        fields: dict[str, Any] = {"file": path, "reason": header.reason, "batches": header.batches}
         try:
             size = gevent.get_hub().threadpool.apply(save, (self.folder, name, pieces, own, self.keep))
             log_event("recorder", "a recording has been written", bytes=size, **fields)
--- a/slatelab/replay/command.py
+++ b/slatelab/replay/command.py
@@ -10,7 +10,7 @@
 
 import click
 
-from slatehub.observe.flight import Flight, Unreadable, read
+from slatehub.observe.flight import FlightRecording, RecordingError, read
 
 from . import formatting
 from .explain import Explainer, arrival_names
@@ -43,20 +43,24 @@
 def command(file: Path, name: str | None, tree: Path | None, limit: int) -> None:
     """Play the flight recording FILE through the decision module again: the same actions, or the first that differ."""
     try:
-        flight = read(file)
+        recording = read(file)
         package = load(tree)
-        formatting.print_lines(*formatting.describe_recording(flight, fingerprint(package)))
-        code = _explain(flight, package, name, limit, tree) if name is not None else _replay(flight, package)
-    except Unreadable as error:
+        formatting.print_lines(*formatting.describe_recording(recording, fingerprint(package)))
+        code = (
+            _explain(recording, package, name, limit, tree)
+            if name is not None
+            else _replay(recording, package)
+        )
+    except RecordingError as error:
         raise Stop(UNREADABLE, f"{file}: {error}") from None
     raise SystemExit(code)
 
 
-def _replay(flight: Flight, package: str) -> int:
-    return _report_result(flight, replay_batches(flight, package))
+def _replay(recording: FlightRecording, package: str) -> int:
+    return _report_result(recording, replay_batches(recording, package))
 
 
-def _report_result(flight: Flight, steps: Iterable[Step]) -> int:
+def _report_result(recording: FlightRecording, steps: Iterable[Step]) -> int:
     ended = deque(steps, 1)
     if not ended:
         formatting.print_lines("no batch has been recorded: nothing to compare")
@@ -66,17 +70,17 @@
         formatting.print_lines(*formatting.describe_difference(last))
         return DIFFERENT
     end = f", and it fails as it did: {formatting.printable(last.problem)}" if last.problem else ""
-    formatting.print_lines(f"the same actions in all {len(flight.batches)} batches{end}")
+    formatting.print_lines(f"the same actions in all {len(recording.batches)} batches{end}")
     return SAME
 
 
-def _explain(flight: Flight, package: str, name: str, limit: int, tree: Path | None) -> int:
-    explainer = Explainer(flight, package, name)
+def _explain(recording: FlightRecording, package: str, name: str, limit: int, tree: Path | None) -> int:
+    explainer = Explainer(recording, package, name)
     if not explainer.arrival_batches:
-        names = list(arrival_names(flight))
+        names = list(arrival_names(recording))
         first_and_last = f", from {names[0]} to {names[-1]}" if names else ""
-        raise Unreadable(f"no request {name} came in what is recorded; {len(names)} did{first_and_last}")
-    code = _report_result(flight, explainer.steps())
+        raise RecordingError(f"no request {name} came in what is recorded; {len(names)} did{first_and_last}")
+    code = _report_result(recording, explainer.steps())
     if code != SAME:
         formatting.print_lines("what follows describes the replayed module up to that batch")
     if missing := explainer.observer.missing:
@@ -86,5 +90,5 @@
         )
     for history in explainer.histories.values():
         formatting.print_lines("")
-        formatting.print_request(flight, name, history, limit)
+        formatting.print_request(recording, name, history, limit)
     return code
--- a/slatelab/replay/explain.py
+++ b/slatelab/replay/explain.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from slatehub.observe.flight import Flight
+from slatehub.observe.flight import FlightRecording
 
 from .decision_observer import DecisionObserver, Moment
 from .replayer import Step, replay_batches
@@ -57,12 +57,12 @@
         self.moments.append(moment)
 
 
-def find_arrivals(flight: Flight, name: str) -> list[tuple[int, int]]:
+def find_arrivals(recording: FlightRecording, name: str) -> list[tuple[int, int]]:
     """Returns batch index and request number of each arrival with this request ID: a caller may use an ID again after
     it was answered."""
-    places = {place for place, (kind, _) in enumerate(flight.head.kinds) if kind == "Arrival"}
+    places = {place for place, (kind, _) in enumerate(recording.header.kinds) if kind == "Arrival"}
     out = []
-    for index, batch in enumerate(flight.batches):
+    for index, batch in enumerate(recording.batches):
         if name in batch.names:
             arrivals = [values[0] for place, values in batch.events if place in places and values]
             pairs = zip(arrivals, batch.names, strict=False)
@@ -70,8 +70,8 @@
     return out[:MAX_HISTORIES]
 
 
-def arrival_names(flight: Flight) -> Iterator[str]:
-    for batch in flight.batches:
+def arrival_names(recording: FlightRecording) -> Iterator[str]:
+    for batch in recording.batches:
         yield from batch.names
 
 
@@ -79,18 +79,18 @@
     """Replays a recording while a DecisionObserver watches the module. Iterate over `steps` to its end, then read
     `histories`."""
 
-    def __init__(self, flight: Flight, package: str, name: str) -> None:
-        self.flight = flight
+    def __init__(self, recording: FlightRecording, package: str, name: str) -> None:
+        self.recording = recording
         self.package = package
         self.arrival_batches = {
-            number: index for index, number in find_arrivals(flight, name)
+            number: index for index, number in find_arrivals(recording, name)
         }  # request number: batch of its arrival
         self.histories: dict[int, RequestHistory] = {}
         self.early_moments: list[Moment] = []
         self.balancer: Any = None
 
     def steps(self) -> Iterator[Step]:
-        for step in replay_batches(self.flight, self.package, self._prepare):
+        for step in replay_batches(self.recording, self.package, self._prepare):
             self._process_step(step)
             if step.got is not None:
                 self.observer.batch_over()
--- a/slatelab/replay/formatting.py
+++ b/slatelab/replay/formatting.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from datetime import UTC, datetime
 
-from slatehub.observe.flight import Flight
+from slatehub.observe.flight import FlightRecording
 
 from .decision_observer import Moment, NodeEstimate
 from .explain import AttemptHistory, RequestHistory
@@ -30,23 +30,25 @@
     return "".join(c if c.isprintable() else "?" for c in text[:longest])
 
 
-def describe_recording(flight: Flight, here: str) -> list[str]:
+def describe_recording(recording: FlightRecording, here: str) -> list[str]:
     """Describes where the recording comes from. `here` is the SHA-256 of the module that replays it."""
-    head = flight.head
-    span = f"{format_timestamp(head.first)} to {format_timestamp(head.last)}" if head.batches else "none"
+    header = recording.header
+    span = (
+        f"{format_timestamp(header.first)} to {format_timestamp(header.last)}" if header.batches else "none"
+    )
     program, problem = (
-        f"slatehub {printable(head.program)}, Python {printable(head.python)}",
-        printable(head.problem),
+        f"slatehub {printable(header.program)}, Python {printable(header.python)}",
+        printable(header.problem),
     )
     lines = [
-        f"recorded by {printable(head.proxy)}, tier {head.tier}, {program}",
-        f"written {printable(head.written)}, reason: {printable(head.reason)}"
+        f"recorded by {printable(header.proxy)}, tier {header.tier}, {program}",
+        f"written {printable(header.written)}, reason: {printable(header.reason)}"
         + (f": {problem}" if problem else ""),
-        f"{head.batches} batches, {span}, {len(flight.nodes)} nodes known by name",
+        f"{header.batches} batches, {span}, {len(recording.nodes)} nodes known by name",
     ]
-    if head.module != here:
+    if header.module != here:
         lines.append(
-            f"the module's text differs: recorded with {printable(head.module)[:12]}, played with {here[:12]}"
+            f"the module's text differs: recorded with {printable(header.module)[:12]}, played with {here[:12]}"
         )
     return lines
 
@@ -80,7 +82,7 @@
     return f"{us / 1000:,.1f}"
 
 
-def print_request(flight: Flight, name: str, history: RequestHistory, limit: int) -> None:
+def print_request(recording: FlightRecording, name: str, history: RequestHistory, limit: int) -> None:
     """Prints the history of one request, with at most `limit` nodes at each of its moments."""
     repeat = ", a further try of its caller" if history.repeat else ""
     ended = "not ended in what is recorded"
@@ -96,7 +98,7 @@
         print_table(
             "attempts",
             ATTEMPT_COLUMNS,
-            [attempt_row(flight, i, one, history) for i, one in enumerate(history.attempts)],
+            [attempt_row(recording, i, one, history) for i, one in enumerate(history.attempts)],
         )
     moments = history.moments
     for i, moment in enumerate(moments):
@@ -110,7 +112,7 @@
             )
             continue
         followed = i + 1 < len(moments) and moments[i + 1].index == moment.index
-        print_moment(flight, history, moment, 0 if followed else limit)
+        print_moment(recording, history, moment, 0 if followed else limit)
     if history.times_passed_over:
         print_lines(
             "",
@@ -121,13 +123,13 @@
 ATTEMPT_COLUMNS = ("no", "node", "sent at ms", "ended at ms", "outcome", "took ms", "note")
 
 
-def attempt_row(flight: Flight, number: int, one: AttemptHistory, history: RequestHistory) -> Row:
+def attempt_row(recording: FlightRecording, number: int, one: AttemptHistory, history: RequestHistory) -> Row:
     end = format_ms(one.ended - history.now) if one.ended else "-"
     note = f"withdrawn at {format_ms(one.cancelled - history.now)}" if one.cancelled else ""
     took = format_ms(one.latency_us) if one.ended else "-"
     return (
         str(number),
-        node_name(flight, one.endpoint),
+        node_name(recording, one.endpoint),
         format_ms(one.sent - history.now),
         end,
         one.status or "-",
@@ -136,8 +138,8 @@
     )
 
 
-def node_name(flight: Flight, endpoint: int) -> str:
-    return printable(flight.nodes.get(endpoint, f"{endpoint:012x}"), 60)
+def node_name(recording: FlightRecording, endpoint: int) -> str:
+    return printable(recording.nodes.get(endpoint, f"{endpoint:012x}"), 60)
 
 
 NODE_COLUMNS = (
@@ -145,7 +147,7 @@
 )  # fmt: skip
 
 
-def print_moment(flight: Flight, history: RequestHistory, moment: Moment, limit: int) -> None:
+def print_moment(recording: FlightRecording, history: RequestHistory, moment: Moment, limit: int) -> None:
     head = f"+{format_ms(moment.now - history.now)} ms, batch {moment.index}: {moment.what}"
     print_lines("", f"{head}: {moment.why}" if moment.why else head)
     if moment.totals and limit:
@@ -155,7 +157,7 @@
     ):  # limit 0: the next moment is of the same batch and lists the same nodes
         return
     ranked = sorted(moment.estimates, key=lambda b: sort_key(b, moment))
-    print_table("", NODE_COLUMNS, [node_row(flight, estimate, moment) for estimate in ranked[:limit]])
+    print_table("", NODE_COLUMNS, [node_row(recording, estimate, moment) for estimate in ranked[:limit]])
     rest = ranked[limit:]
     if rest:
         free = sum(not estimate.unavailable_reason for estimate in rest)
@@ -176,14 +178,14 @@
     )  # fmt: skip
 
 
-def node_row(flight: Flight, estimate: NodeEstimate, moment: Moment) -> Row:
+def node_row(recording: FlightRecording, estimate: NodeEstimate, moment: Moment) -> Row:
     chosen, tried = estimate.endpoint == moment.chosen, estimate.endpoint in moment.tried
     what = "chosen" if chosen else "tried" if tried else estimate.unavailable_reason
     capacity = f"{estimate.capacity:.2f}" + (
         f", credit {estimate.slow_start_credit:.1f}" if estimate.capacity < 1 else ""
     )
     return (
-        node_name(flight, estimate.endpoint), what, str(estimate.occupancy), str(estimate.limit),
+        node_name(recording, estimate.endpoint), what, str(estimate.occupancy), str(estimate.limit),
         f"{estimate.slowness:.2f}", f"{estimate.error_score:.2f}", f"{estimate.class_error_score:.2f}",
         format_ms(estimate.ejected_us) if estimate.ejected_us else "-",
         format_ms(estimate.paused_us) if estimate.paused_us else "-", capacity,
--- a/slatelab/replay/module.py
+++ b/slatelab/replay/module.py
@@ -9,18 +9,18 @@
 import sys
 from pathlib import Path
 
-from slatehub.observe.flight import Unreadable
+from slatehub.observe.flight import RecordingError
 
 OWN_PACKAGE, OTHER_PACKAGE = "paddlestep", "slatelab_replayed_paddlestep"
 
 
 def load(tree: Path | None) -> str:
-    """Returns the name of the package to replay through. Raises Unreadable if `tree` has none that can be loaded."""
+    """Returns the name of the package to replay through. Raises RecordingError if `tree` has no loadable one."""
     if tree is None:
         return OWN_PACKAGE
     init_file = tree / "paddlestep" / "__init__.py"
     if not init_file.is_file():
-        raise Unreadable(f"{tree}: no paddlestep in it")
+        raise RecordingError(f"{tree}: no paddlestep in it")
     for name in [name for name in sys.modules if name.partition(".")[0] == OTHER_PACKAGE]:
         del sys.modules[name]  # of another tree, loaded by an earlier call
     spec = importlib.util.spec_from_file_location(
@@ -33,7 +33,9 @@
         for part in ("balance", "interface"):
             importlib.import_module(f"{OTHER_PACKAGE}.{part}")
     except Exception as error:
-        raise Unreadable(f"{init_file.parent}: cannot be loaded: {type(error).__name__}: {error}") from None
+        raise RecordingError(
+            f"{init_file.parent}: cannot be loaded: {type(error).__name__}: {error}"
+        ) from None
     return OTHER_PACKAGE
 
 
--- a/slatelab/replay/replayer.py
+++ b/slatelab/replay/replayer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from slatehub.observe.flight import Batch, Flight, Plain, Unreadable
+from slatehub.observe.flight import Batch, EncodedItem, FlightRecording, RecordingError
 
 Named = tuple[str, dict[str, Any]]  # an event or action: its kind and its fields
 
@@ -39,37 +39,37 @@
     return type(one).__name__, {f.name: getattr(one, f.name) for f in fields(one)}
 
 
-def from_recorded(flight: Flight, one: Plain) -> Named:
+def from_recorded(recording: FlightRecording, one: EncodedItem) -> Named:
     place, values = one
-    if not 0 <= place < len(flight.head.kinds):
-        raise Unreadable("an action cannot be read: unknown kind")
-    kind, names = flight.head.kinds[place]
+    if not 0 <= place < len(recording.header.kinds):
+        raise RecordingError("an action cannot be read: unknown kind")
+    kind, names = recording.header.kinds[place]
     return kind, dict(zip(names, values, strict=False))
 
 
 def replay_batches(
-    flight: Flight, package: str, prepare: Callable[[Any], None] | None = None
+    recording: FlightRecording, package: str, prepare: Callable[[Any], None] | None = None
 ) -> Iterator[Step]:
     """Yields a step for each batch in order, up to the first difference. `prepare` is called with the Balancer before
-    the first batch. Raises Unreadable if this module cannot load the recorded state or events."""
-    balancer = flight.thaw(package)
+    the first batch. Raises RecordingError if this module cannot load the recorded state or events."""
+    balancer = recording.load_balancer(package)
     if prepare:
         prepare(balancer)
-    for index, batch in enumerate(flight.batches):
-        step = _step(flight, package, balancer, index, batch)
+    for index, batch in enumerate(recording.batches):
+        step = _step(recording, package, balancer, index, batch)
         yield step
         if not step.matches:
             return
 
 
-def _step(flight: Flight, package: str, balancer: Any, index: int, batch: Batch) -> Step:
-    events = [flight.event(one, package) for one in batch.events]
-    wanted = None if batch.actions is None else [from_recorded(flight, one) for one in batch.actions]
+def _step(recording: FlightRecording, package: str, balancer: Any, index: int, batch: Batch) -> Step:
+    events = [recording.decode_item(one, package) for one in batch.events]
+    wanted = None if batch.actions is None else [from_recorded(recording, one) for one in batch.actions]
     got: list[Named] | None = None
     problem = ""
     try:
         got = [to_named(action) for action in balancer.handle(batch.now, events)]
     except Exception as error:
         problem = f"{type(error).__name__}: {error}"[:400]
-    matches = wanted == got and (got is not None or problem == flight.head.problem)
+    matches = wanted == got and (got is not None or problem == recording.header.problem)
     return Step(index, batch, events, wanted, got, problem, matches)
--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -326,7 +326,7 @@
     def fails(*_: Any) -> Any:
         raise OverflowError("planted")
 
-    monkeypatch.setattr(flight_recorder.encoder, "batch", fails)
+    monkeypatch.setattr(flight_recorder.encoder, "encode_batch", fails)
     rig.driver.update_nodes(ListKind.FULL, 1, (Entry(1),))
     rig.submit_job("a")
     run_event_loop()
@@ -338,7 +338,7 @@
     again.configure(
         ("n0", 0, "", ""), 10, str(tmp_path), 2
     )  # otherwise it would write to the tests' working directory
-    monkeypatch.setattr(recorder.flight, "freeze", fails)
+    monkeypatch.setattr(recorder.flight, "serialize_balancer", fails)
     again.record_fault(ValueError("planted"))
     assert again.ring is None
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -48,14 +48,14 @@
     """A dispatcher under load with a recorder, without a clock or a socket."""
 
     def __init__(self, folder: Path, batches: int, nodes: int = 5, keep: int = 8) -> None:
-        self.desk = Dispatcher(SETTINGS, 7, 1000)
+        self.dispatcher = Dispatcher(SETTINGS, 7, 1000)
         self.now, self.serial, self.out = 10_000_000, 0, list[Attempt]()
         names = {n + 1: f"s-{n}" for n in range(nodes)}
-        self.recorder = self.desk.recorder = FlightRecorder(
-            lambda: self.desk.balancer, lambda: names, batches
+        self.recorder = self.dispatcher.recorder = FlightRecorder(
+            lambda: self.dispatcher.balancer, lambda: names, batches
         )
         self.recorder.configure(("p-0", 0, "0.1", module_sha256()), batches, str(folder), keep)
-        self.desk.update_nodes(
+        self.dispatcher.update_nodes(
             self.now, ListKind.FULL, 1, tuple(Entry(n, since_us=9_000_000 * (n == 1)) for n in names)
         )
 
@@ -65,19 +65,19 @@
             self.now += 3_000
             self.serial += 1
             job = Job(f"r{self.serial}", self.serial % 2, 0, self.now + 400_000, None, IgnoringFront())
-            self.desk.submit(self.now, job)
+            self.dispatcher.submit(self.now, job)
             if self.serial % 3 and self.out:
-                self.desk.attempt_ended(
+                self.dispatcher.attempt_ended(
                     self.now, self.out.pop(0), STATUSES[self.serial % len(STATUSES)], (1.5,)
                 )
             if self.serial % 50 == 0:
-                self.desk.apply_settings(SETTINGS, 1000)
-            self.desk.run_due_timers(self.now)
+                self.dispatcher.apply_settings(SETTINGS, 1000)
+            self.dispatcher.run_due_timers(self.now)
             self.process_batch()
 
     def process_batch(self) -> None:
-        self.desk.process_batch(self.now)
-        self.out += [act.attempt for act in self.desk.take_commands() if isinstance(act, StartAttempt)]
+        self.dispatcher.process_batch(self.now)
+        self.out += [act.attempt for act in self.dispatcher.take_commands() if isinstance(act, StartAttempt)]
 
     def file(self, reason: str = "asked") -> Path:
         assert self.recorder.write(reason)
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize("batches", [1, 7, 200, 100_000])
 def test_a_ring_of_any_size_replays_from_its_oldest_generation(tmp_path: Path, batches: int) -> None:
-    day = RecordedRun(tmp_path, batches)
+    run = RecordedRun(tmp_path, batches)
     for part in range(12):
-        day.work(1 + 29 * part)
-        read = flight.read(day.file())
+        run.work(1 + 29 * part)
+        read = flight.read(run.file())
         assert len(read.batches) <= batches and (
-            day.serial <= batches or 2 * len(read.batches) >= batches - 1
+            run.serial <= batches or 2 * len(read.batches) >= batches - 1
         )
         assert all(step.matches for step in replayer.replay_batches(read, "paddlestep"))
     assert len(list(tmp_path.iterdir())) == 8  # `keep`: the oldest were removed
@@ -107,17 +107,17 @@
 
 def test_a_ring_is_bounded_in_bytes_too(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr(recorder, "MAX_GENERATION_BYTES", 20_000)
-    day = RecordedRun(tmp_path, 100_000)
+    run = RecordedRun(tmp_path, 100_000)
     for _ in range(20):
-        day.work(100)
-        assert day.recorder.ring and sum(g.size_bytes for g in day.recorder.ring.generations()) < 42_000
-    assert replay(day.file()).exit_code == 0
+        run.work(100)
+        assert run.recorder.ring and sum(g.size_bytes for g in run.recorder.ring.generations()) < 42_000
+    assert replay(run.file()).exit_code == 0
 
 
 def test_a_request_is_explained_by_its_id(tmp_path: Path) -> None:
-    day = RecordedRun(tmp_path, 1000, nodes=3)
-    day.work(400)
-    path = day.file()
+    run = RecordedRun(tmp_path, 1000, nodes=3)
+    run.work(400)
+    path = run.file()
     done = [replay(path, "--request", f"r{n}", "--limit", "2") for n in range(1, 400, 7)]
     assert {one.exit_code for one in done} == {0}  # explaining a request does not change the replay
     output = "\n".join(one.output for one in done)
@@ -131,13 +131,13 @@
 
 
 def test_a_file_cut_anywhere_or_altered_is_unreadable(tmp_path: Path) -> None:
-    day = RecordedRun(tmp_path, 100)
-    day.work(10)
-    data, path = day.file().read_bytes(), tmp_path / "cut.flight"
+    run = RecordedRun(tmp_path, 100)
+    run.work(10)
+    data, path = run.file().read_bytes(), tmp_path / "cut.flight"
     path.write_bytes(data)
     for size in reversed(range(len(data))):
         os.truncate(path, size)
-        with pytest.raises(flight.Unreadable):
+        with pytest.raises(flight.RecordingError):
             flight.read(path)
     for bad in (
         data[:300],
@@ -150,7 +150,7 @@
         done = replay(path)
         assert done.exit_code == 2 and done.output.startswith("slatelab: ") and done.output.count("\n") == 1
     assert [replay(place).exit_code for place in (tmp_path, tmp_path / "nowhere")] == [2, 2]
-    assert replay(day.file(), "--tree", tmp_path).exit_code == 2
+    assert replay(run.file(), "--tree", tmp_path).exit_code == 2
 
 
 class HostilePickle:
@@ -162,19 +162,19 @@
 
 def test_a_hostile_file_runs_nothing(tmp_path: Path) -> None:
     HostilePickle.place = str(tmp_path / "made")
-    day = RecordedRun(tmp_path, 100)
-    day.work(3)
-    read = flight.read(day.file())
-    path, head = tmp_path / "evil.flight", replace(read.head, batches=0)
+    run = RecordedRun(tmp_path, 100)
+    run.work(3)
+    read = flight.read(run.file())
+    path, header = tmp_path / "evil.flight", replace(read.header, batches=0)
     states = {
         "names posix.mkdir": pickle.dumps(HostilePickle()),
         "names posix.getcwd": pickle.dumps(os.getcwd),
         "names paddlestep.balance.exp": b"cpaddlestep.balance\nexp\n.",  # which the module only imports
-        "is no Balancer": pickle.dumps([]),
+        "is not a Balancer": pickle.dumps([]),
         "cannot be read": b"\x80",
     }
     for words, state in states.items():
-        path.write_bytes(b"".join(flight.layout(head, state, {}, [])))
+        path.write_bytes(b"".join(flight.encode_file(header, state, {}, [])))
         done = replay(path)
         assert done.exit_code == 2 and words in done.output, done.output
     for data in (b"\xff\xff\xff\xff", b"\x00" * 100, os.urandom(50)):
@@ -194,15 +194,15 @@
 
 
 def test_another_module_is_reported_with_its_first_differing_action(tmp_path: Path) -> None:
-    day = RecordedRun(tmp_path, 1000)
-    day.work(200)
+    run = RecordedRun(tmp_path, 1000)
+    run.work(200)
     for name in ("same", "other", "broken"):
         shutil.copytree(ROOT / "paddlestep", tmp_path / name / "paddlestep")
     text = (tmp_path / "same/paddlestep/balance.py").read_text()
     (tmp_path / "same/paddlestep/balance.py").write_text(text + "\n# another text\n")
     (tmp_path / "other/paddlestep/balance.py").write_text(text + LATER)
     (tmp_path / "broken/paddlestep/balance.py").write_text(text + "\n1 / 0\n")
-    path = day.file()
+    path = run.file()
     done = replay(path, "--tree", tmp_path / "same")
     assert done.exit_code == 0 and "the module's text differs" in done.output
     done = replay(path, "--tree", tmp_path / "other")
@@ -213,13 +213,13 @@
 
 def test_a_replay_says_that_a_module_with_other_names_leaves_decisions_unexplained(tmp_path: Path) -> None:
     """The observer replaces methods by name; a tree from before a rename would silently show no decisions."""
-    day = RecordedRun(tmp_path, 1000)
-    day.work(50)
+    run = RecordedRun(tmp_path, 1000)
+    run.work(50)
     shutil.copytree(ROOT / "paddlestep", tmp_path / "old/paddlestep")
     module = tmp_path / "old/paddlestep/balance.py"
     names = "on_arrival", "retry_or_finish", "on_overdue", "finish_unserved", "pick_server", "over_allowance"
     module.write_text(re.sub(rf"\b({'|'.join(names)})\b", r"\1_old", module.read_text()))
-    path, line = day.file(), f"the decision module of {tmp_path / 'old'} has other names"
+    path, line = run.file(), f"the decision module of {tmp_path / 'old'} has other names"
     done = replay(path, "--request", "r7", "--tree", tmp_path / "old")
     assert done.exit_code == 0 and "the same actions in all" in done.output
     said = [one for one in done.output.splitlines() if one.startswith(line)]
@@ -238,10 +238,10 @@
         arrive(self, a)
 
     monkeypatch.setattr(Balancer, "on_arrival", broken)
-    day = RecordedRun(tmp_path, 40)
-    day.work(61)  # the recorder continues with a new ring
+    run = RecordedRun(tmp_path, 40)
+    run.work(61)  # the recorder continues with a new ring
     gevent.sleep(0)
-    assert day.recorder.write_greenlet is None or day.recorder.write_greenlet.join(20) is None
+    assert run.recorder.write_greenlet is None or run.recorder.write_greenlet.join(20) is None
     (path,) = tmp_path.glob("*-fault.flight")
     read = flight.read(path)
     assert read.batches[-1].names == ("r60",) and read.batches[-1].actions is None
@@ -252,7 +252,7 @@
     monkeypatch.undo()
     done = replay(path)
     assert done.exit_code == 1 and "recorded: the module failed" in done.output
-    assert len(flight.read(day.file()).batches) == 1
+    assert len(flight.read(run.file()).batches) == 1
 
 
 def test_a_full_disk_or_a_missing_folder_is_logged(tmp_path: Path, monkeypatch: Any) -> None:
@@ -265,9 +265,9 @@
     (folder / "p_0-notes.txt").write_text("not ours")
     (folder / ".p_0-20200101T000000.000000Z-stop.flight.part").write_text("")
     os.utime(folder / ".p_0-20200101T000000.000000Z-stop.flight.part", (0, 0))
-    day = RecordedRun(folder, 100, keep=1)
-    day.work(10)
-    day.file()
+    run = RecordedRun(folder, 100, keep=1)
+    run.work(10)
+    run.file()
     assert sorted(x.name.partition("-")[0] for x in folder.iterdir()) == [
         "p_0",
         "p_0",
@@ -276,16 +276,16 @@
         full.setattr(
             os, "fsync", lambda fd: (_ for _ in ()).throw(OSError(errno.ENOSPC, "No space left on device"))
         )
-        day.file()
+        run.file()
     shutil.rmtree(folder)
-    assert day.recorder.write("asked") and not day.recorder.write("asked")  # one write at a time
-    day.recorder.finish(True)
+    assert run.recorder.write("asked") and not run.recorder.write("asked")  # one write at a time
+    run.recorder.finish(True)
     assert [line.split(":")[0] for line in logged] == [
         "info a recording has been written", "error cannot write a recording",
         "warning still writing the last file", "error cannot write a recording", "error cannot write a recording",
     ]  # fmt: skip
-    day.work(10)
-    assert day.recorder.ring
+    run.work(10)
+    assert run.recorder.ring
 
 
 # ---------------------------------------------------------------- a real proxy
@@ -327,7 +327,7 @@
         assert done.exit_code == 0 and "recorded by n0, tier 0" in done.output
     done = replay(stop, "--request", "r299")
     assert done.exit_code == 0 and "request r299 " in done.output and "s-" in done.output
-    assert flight.read(stop).head.module == module_sha256()
+    assert flight.read(stop).header.module == module_sha256()
 
 
 def test_sighup_switches_it_on_and_off_and_sigusr2_never_ends_the_proxy(tmp_path: Path) -> None:
@@ -370,5 +370,5 @@
         wait_until(lambda: any("recording has been written" in line for line in p.program.log))
     read = flight.read(path)
     assert read.batches[-1].actions is None and "r5" in read.batches[-1].names
-    assert read.head.problem == "ValueError: five"
+    assert read.header.problem == "ValueError: five"
     assert replay(path).exit_code == 1  # this tree's module does not fail there
--- a/tests/test_stored_names.py
+++ b/tests/test_stored_names.py
@@ -76,7 +76,7 @@
 
 
 def test_the_state_of_an_old_recording_has_its_values_under_the_new_names() -> None:
-    balancer, old = flight.read(OLD_RECORDING).thaw(), old_state()
+    balancer, old = flight.read(OLD_RECORDING).load_balancer(), old_state()
     assert type(balancer) is Balancer and vars(balancer).keys() == vars(Balancer(SETTINGS, 1)).keys()
     assert balancer.settings.classes[0].name == "look" and balancer.settings == old["set"]
     assert balancer.in_flight == old["inflight"] and balancer.ejected_count == old["out_count"]
@@ -174,9 +174,9 @@
 
 
 def test_a_recording_is_written_with_the_names_of_the_old_build() -> None:
-    balancer = flight.read(OLD_RECORDING).thaw()
+    balancer = flight.read(OLD_RECORDING).load_balancer()
     balancer.handle(balancer.now + 1_000, [ListUpdate(ListKind.DELTA, 9, (Entry(9),))])
-    state = flight.freeze(balancer)
+    state = flight.serialize_balancer(balancer)
     assert vars(balancer).keys() >= STORED_NAMES["Balancer"].keys()  # it is not changed by the writing
 
     stub = StubReader(state).load()
@@ -196,8 +196,8 @@
 
 
 def test_a_written_state_reads_back_the_same() -> None:
-    balancer = flight.read(OLD_RECORDING).thaw()
-    again = flight.Thawer(flight.freeze(balancer), "paddlestep").load()
+    balancer = flight.read(OLD_RECORDING).load_balancer()
+    again = flight.RestrictedUnpickler(flight.serialize_balancer(balancer), "paddlestep").load()
     for endpoint, server in balancer.servers.items():
         assert vars(again.servers[endpoint]) == vars(server)
     assert {n: r.queued for n, r in again.requests.items()} == {
@@ -215,7 +215,7 @@
     )
     read, package = flight.read(OLD_RECORDING), load(tmp_path)
     assert package != "paddlestep"
-    assert read.thaw(package).in_flight == read.thaw().in_flight
+    assert read.load_balancer(package).in_flight == read.load_balancer().in_flight
     assert all(step.matches for step in replayer.replay_batches(read, package))
 
 
@@ -228,8 +228,8 @@
         lines = "".join(f"        self.{attribute} = None\n" for attribute in attributes.split())
         classes.append(f"class {name}:\n    def __init__(self):\n{lines}")
     (tmp_path / "paddlestep" / "balance.py").write_text("\n".join(classes))
-    balancer = flight.read(OLD_RECORDING).thaw(load(tmp_path))
+    balancer = flight.read(OLD_RECORDING).load_balancer(load(tmp_path))
     assert list(vars(balancer)) == OLD_NAMES["Balancer"].split()
-    assert balancer.inflight == flight.read(OLD_RECORDING).thaw().in_flight
+    assert balancer.inflight == flight.read(OLD_RECORDING).load_balancer().in_flight
     for server in balancer.servers.values():
         assert list(vars(server)) == OLD_NAMES["Server"].split()
