--- a/slatelab/cli/check.py
+++ b/slatelab/cli/check.py
@@ -19,7 +19,7 @@
     "--set", "settings", type=options.Setting(), multiple=True, help="Put a value over the scenario's."
 )
 def command(files: tuple[Path, ...], settings: tuple[tuple[str, object], ...]) -> None:
-    """Read each FILE and say all that is wrong with it: file, key and reason."""
+    """Read each FILE and report every error in it: file, key and reason."""
     errors: list[str] = []
     for file in files:
         try:
--- a/slatelab/cli/compare.py
+++ b/slatelab/cli/compare.py
@@ -46,7 +46,7 @@
     a_set: Settings,
     b_set: Settings,
 ) -> None:
-    """Play the scenario FILE on two sides with the same seeds and compare them pair by pair.
+    """Run the scenario FILE on two sides with the same seeds and compare them pair by pair.
 
     A SIDE is `work` (the working tree), a folder with slatehub in it, or a revision.
     """
--- a/slatelab/cli/formatting.py
+++ b/slatelab/cli/formatting.py
@@ -22,6 +22,7 @@
 
 
 def console() -> Console:
+    """Returns a console on standard output that prints text unchanged."""
     from rich.console import Console
 
     width = None if sys.stdout.isatty() else DEFAULT_WIDTH
@@ -29,14 +30,17 @@
 
 
 def percent(share: float | None) -> str:
+    """Formats a share in percent; "-" if there is none."""
     return "-" if share is None else f"{share * 100:.2f} %"
 
 
 def ms(value: float | None) -> str:
+    """Formats milliseconds; "-" if there are none."""
     return "-" if value is None else f"{value:.1f} ms"
 
 
 def number(value: float | None) -> str:
+    """Formats a number with three decimals; "-" if there is none."""
     return "-" if value is None else f"{value:.3f}"
 
 
@@ -56,6 +60,7 @@
 
 
 def verdict(one: Summary) -> list[str]:
+    """Returns the lines on broken rules: their counts and the first violations."""
     if not one.violations:
         return ["no rule was broken"]
     counts = ", ".join(f"{rule} {count}" for rule, count in one.rules.items())
@@ -80,10 +85,12 @@
 
 
 def figure_title(figure: Figure) -> str:
+    """Returns the title with the unit, if there is one."""
     return f"{figure.title} ({figure.unit})" if figure.unit else figure.title
 
 
 def format_interval(figure: Figure, ci: Interval, sign: bool = False) -> str:
+    """Returns the mean, and the ends of its interval on a second line; "-" if there are no values."""
     if not ci.n:
         return "-"
     return f"{figure.format(ci.mean, sign)}\n{figure.format(ci.low, sign)} to {figure.format(ci.high, sign)}"
@@ -131,6 +138,7 @@
 
 
 def say(lines: Sequence[str]) -> None:
+    """Prints lines on standard output."""
     import click
 
     for line in lines:
--- a/slatelab/cli/group.py
+++ b/slatelab/cli/group.py
@@ -79,13 +79,14 @@
 
 @click.command(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
 def group() -> None:
-    """Plays scenarios against slatehub, judges and measures them.
+    """Runs scenarios against slatehub, judges and measures them.
 
-    Exit codes: 0 well, 1 a rule was broken, 2 unreadable input, 3 a run that cannot be trusted, 130
+    Exit codes: 0 success, 1 a rule was broken, 2 unreadable input, 3 a run that cannot be trusted, 130
     interrupted."""
 
 
 def main() -> None:
+    """Entry point of the program `slatelab`."""
     signal.signal(signal.SIGTERM, _on_sigterm)
     group(prog_name="slatelab")
 
--- a/slatelab/cli/listing.py
+++ b/slatelab/cli/listing.py
@@ -14,7 +14,7 @@
 @click.command("list")
 @click.option("--out", metavar="DIR", help="Folder of results (else $SLATELAB_RESULTS, else ./results).")
 def command(out: str | None) -> None:
-    """List the results, the oldest first. Whatever is not whole is skipped with a line."""
+    """List the results, the oldest first. Each folder without a complete result is skipped with a message."""
     from rich.table import Table
 
     complete, skipped = results.load_all(results.results_directory(out))
--- a/slatelab/cli/options.py
+++ b/slatelab/cli/options.py
@@ -30,7 +30,7 @@
 
 
 class Setting(click.ParamType[tuple[str, Any]]):
-    """key=value"""
+    """An option value of the form key=value."""
 
     name = "key=value"
 
@@ -42,7 +42,7 @@
 
 
 class Vary(click.ParamType[tuple[str, list[Any]]]):
-    """key=v1,v2,..."""
+    """An option value of the form key=v1,v2,..."""
 
     name = "key=v1,v2,..."
 
@@ -64,7 +64,7 @@
 
 
 class Seeds(click.ParamType[list[int]]):
-    """1-10, or 3, or 1,4,9-12"""
+    """Seeds and ranges of seeds: 1-10, or 3, or 1,4,9-12."""
 
     name = "seeds"
 
--- a/slatelab/cli/report.py
+++ b/slatelab/cli/report.py
@@ -13,7 +13,7 @@
 @click.argument("folders", nargs=-1, required=True, type=click.Path(path_type=Path), metavar="DIR [DIR]")
 @click.option("--out", type=click.Path(path_type=Path), help="Where to write [a folder in the last DIR].")
 def command(folders: tuple[Path, ...], out: Path | None) -> None:
-    """Draw the result in DIR, or two beside each other, as one page that needs nothing else."""
+    """Write one self-contained page on the result in DIR, or on two results side by side."""
     if len(folders) > 2:
         raise click.UsageError("one result or two")
     from slatelab.report.page import write_report
--- a/slatelab/cli/run.py
+++ b/slatelab/cli/run.py
@@ -44,7 +44,7 @@
     drop: bool,
     tested: str,
 ) -> None:
-    """Play the scenario FILE once, judge and measure it, and keep the result."""
+    """Run the scenario FILE once, judge and measure it, and keep the result."""
     if tree and rev:
         raise click.UsageError("give one of --tree and --rev")
     keep = "" if drop else str(results.results_directory(out))
--- a/slatelab/cli/show.py
+++ b/slatelab/cli/show.py
@@ -15,7 +15,7 @@
 @click.command("show")
 @click.argument("folder", type=click.Path(path_type=Path), metavar="DIR")
 def command(folder: Path) -> None:
-    """Print the result in DIR: figures, verdict with the histories, and what it was made on."""
+    """Print the result in DIR: figures, verdict with histories, software versions and machine."""
     from slatelab.report.view import load_figures
 
     one = results.load(folder)
--- a/slatelab/cli/sweep.py
+++ b/slatelab/cli/sweep.py
@@ -35,7 +35,7 @@
     quiet: bool,
     vary: tuple[tuple[str, list[Any]], ...],
 ) -> None:
-    """Play the scenario FILE for every combination of the given values, each with all seeds."""
+    """Run the scenario FILE for every combination of the given values, each with all seeds."""
     base = Job(
         file, engine, None, settings, results_folder=str(results.results_directory(out)) if keep else ""
     )
--- a/slatelab/experiments/statistics.py
+++ b/slatelab/experiments/statistics.py
@@ -38,6 +38,7 @@
     digits: int = 2
 
     def format(self, value: float | None, sign: bool = False) -> str:
+        """Formats a value without its unit; "-" if there is none. `sign`: positive values get a plus sign."""
         if value is None or math.isnan(value):
             return "-"
         return f"{value * self.scale:{'+' if sign else ''}.{self.digits}f}"
--- a/slatelab/judge/cold.py
+++ b/slatelab/judge/cold.py
@@ -40,8 +40,8 @@
 ) -> Violation | None:
     """Judges the attempts that arrived in one cold life, given in order of time. It is a violation if the node
     reports a crash, or must have crashed by the budget above, and at least INFORMED_SHARE of the work in the window
-    before came from proxies that had been told of the start when they sent it, or count as told
-    (`Timeline.informed`)."""
+    before came from proxies that had been informed of the start when they sent it, or count as
+    informed (`Timeline.informed`)."""
     crash = next(
         (d for d in timeline.downs.get(start.node, ()) if d.life == start.life and d.why == "fell"), None
     )
@@ -83,7 +83,7 @@
     def __init__(self, timeline: Timeline, start: Up) -> None:
         self.work = self.informed_work = 0
         self._timeline, self._start = timeline, start
-        # With the work that counts as sent by an informed proxy.
+        # Entries are (attempt, its work if an informed proxy sent it, else 0).
         self._arrivals: deque[tuple[Came, int]] = deque()
 
     def add(self, fact: Came) -> None:
--- a/slatelab/judge/requests.py
+++ b/slatelab/judge/requests.py
@@ -26,11 +26,11 @@
         self.rules, self.proxy, self.timeline = scenario.rules, scenario.proxy, timeline
         self._find_reply = find_reply
         longest = max(cls.deadline for cls in scenario.classes)
-        # SIGKILL is sent no earlier after SIGTERM.
+        # SIGKILL is sent at least this long after SIGTERM.
         self._stop_time_us = min(MAX_STOP_GRACE_US, longest) + STOP_MARGIN_US
         self._unsafe = {cls.name for cls in scenario.classes if cls.effect == "unsafe"}
-        # A cancelled attempt must not count as a second copy: the node learns of the cancellation one or two one-way
-        # delays later.
+        # A cancelled attempt must not count as a second copy: it reaches the node one or two one-way delays
+        # later.
         self._cancel_delay = 2 * scenario.network.delay + scenario.rules.answer_slack
 
     def judge(self, case: Case) -> Iterator[Violation]:
@@ -178,8 +178,8 @@
     def sent_again(self, case: Case) -> Iterator[Violation]:
         """Unsafe classes: no attempt may have its first byte at a node before every earlier attempt was proved not to
         have run. Any class, if second copies are not allowed: no attempt while an earlier one is open. An attempt is
-        proved to be open by a reply that its node writes later; a cancelled attempt gets none, but the node learns of
-        the cancellation with a delay, for which answer_slack and two one-way delays are allowed. An attempt at an
+        proved to be open by a reply that its node writes later; a cancelled attempt gets none, but the cancellation
+        reaches the node with a delay, for which answer_slack and two one-way delays are allowed. An attempt at an
         unresponsive node proves nothing: its data may be much older than its timestamp."""
         if len(case.attempts) > 1:
             found = self._sent_before_resolved(case) if self.is_unsafe(case) else None
@@ -239,9 +239,9 @@
             yield _violation("too-many-attempts", case, case.attempts[limit].came.t, text)
 
     def sent_to_drained(self, case: Case) -> Iterator[Violation]:
-        """No first byte may arrive at a node later than drain_grace + answer_slack after the proxy was told, or counts
-        as told, that the node drains or is gone (`Timeline.told_gone`). An attempt proves nothing if the node was
-        unresponsive in the meantime."""
+        """No first byte may arrive at a node later than drain_grace + answer_slack after the proxy was informed, or
+        counts as informed, that the node drains or is gone (`Timeline.told_gone`). An attempt proves nothing if the
+        node was unresponsive in the meantime."""
         grace = self.rules.drain_grace + self.rules.answer_slack
         for attempt in case.attempts:
             came = attempt.came
--- a/slatelab/judge/timeline.py
+++ b/slatelab/judge/timeline.py
@@ -1,5 +1,5 @@
-"""Index of all facts that do not belong to a request: when each proxy was alive, what discovery had told it, which
-nodes were unresponsive, and when the lab itself was late.
+"""Index of all facts that do not belong to a request: when each proxy was running, which node states discovery had sent
+it, which nodes were unresponsive, and when the lab itself was late.
 
 Tolerance between timestamps: a fact is stamped after the event it describes, by one of several parties. So facts of
 different parties are compared with a tolerance of SKEW_US, plus the largest `Lagged.by_us` recorded within NEAR_US of
@@ -52,8 +52,8 @@
         self._starts: dict[str, list[Told]] = defaultdict(list)
         # By original node id or proxy; spans may overlap.
         self._unresponsive: dict[str, list[Span]] = defaultdict(list)
-        self._told_spans = _SpanTable()  # by proxy and node: told that the node drains or is gone
-        self._first_told_spans = _SpanTable()  # by node: the same, from the first proxy that was told
+        self._told_spans = _SpanTable()  # by proxy and node: informed that the node drains or is gone
+        self._first_told_spans = _SpanTable()  # by node: the same, from the first proxy that was informed
         for fact in facts:
             self._add(fact)
 
@@ -93,7 +93,7 @@
         return found
 
     def planned_stop(self, proxy: str, t: int) -> ProxyDown | None:
-        """The planned stop that the proxy's current process had been told of by `t`."""
+        """The planned stop of the proxy's current process, if it had begun by `t`."""
         found = None
         for fact in self.proxies.get(proxy, ()):
             if fact.t > t:
@@ -104,13 +104,13 @@
                 found = fact
         return found
 
-    # ------------------------------------------------------------ what discovery told a proxy
+    # ------------------------------------------------------------ what discovery sent to a proxy
 
     def told_gone(self, proxy: str, node: str, t: int) -> Span | None:
-        """Since when the proxy counts as told, at `t`, that the node drains or is gone. It was told if discovery told
-        its current process and has not told it SERVING since. It is assumed to be told `ask_every` after discovery
-        first told any proxy (or after the proxy's own start, if that was later), until discovery tells any proxy
-        SERVING again. Changes that discovery told no proxy are not considered."""
+        """Since when the proxy counts as informed, at `t`, that the node drains or is gone. It is informed if
+        discovery sent this to its current process and has not sent it SERVING since. It is assumed to be informed
+        `ask_every` after discovery first sent this to any proxy (or after the proxy's own start, if that was later),
+        until discovery sends SERVING to any proxy again. Changes that discovery sent to no proxy are not considered."""
         if not self._first_told_spans.has_spans(node):
             return None
         own = self._told_spans.at(f"{proxy} {node}", t)
@@ -122,15 +122,15 @@
         return min((span for span in (own, assumed) if span), default=None, key=lambda span: span.start)
 
     def informed(self, proxy: str, up: Up, t: int) -> bool:
-        """Whether the proxy counts as told, at `t`, of this start of a node: discovery has told it SERVING with a
-        `since` later than the node's last end before the start; or has told any proxy so at least `ask_every`
+        """Whether the proxy counts as informed, at `t`, of this start of a node: discovery has sent it SERVING with a
+        `since` later than the node's last end before the start; or has sent this to any proxy at least `ask_every`
         earlier, and the proxy has been running for that long."""
         tellings = [told for told in self._starts[up.node] if told.t <= t and self._refers_to(told, up)]
         assumed = bool(tellings) and max(tellings[0].t, self._started(proxy, t)) + self._rules.ask_every <= t
         return assumed or any(told.proxy == proxy for told in tellings)
 
     def starts_told(self, up: Up) -> list[Told]:
-        """The facts in which discovery told any proxy of this start."""
+        """The facts in which discovery informed any proxy of this start."""
         return [told for told in self._starts[up.node] if self._refers_to(told, up)]
 
     # ------------------------------------------------------------ construction
@@ -173,7 +173,7 @@
     def _add_proxy_event(self, fact: ProxyUp | ProxyDown) -> None:
         self.proxies[fact.proxy].append(fact)
         if isinstance(fact, ProxyDown) and fact.why != "planned":
-            # The next process has not been told anything yet.
+            # The next process has not received anything from discovery yet.
             self._told_spans.close_all(f"{fact.proxy} ", fact.t)
 
     def _add_fault_event(self, fact: FaultBegan | FaultEnded) -> None:
--- a/slatelab/live/addresses.py
+++ b/slatelab/live/addresses.py
@@ -10,11 +10,8 @@
 
 SECOND_OCTETS = range(64, 192)
 PORTS = range(10_240, 32_000)  # below the kernel's range of ephemeral ports
-FIRST_NODE_OCTET, FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET = (
-    1,
-    128,
-    192,
-)  # first third octet of each kind of address
+# The lowest third octet of each kind of address.
+FIRST_NODE_OCTET, FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET = 1, 128, 192
 HOSTS_PER_OCTET = 250
 
 
@@ -59,8 +56,8 @@
         return self._host(FIRST_PROXY_OCTET, FIRST_DISCOVERY_OCTET, n)
 
     def discovery(self, n: int) -> str:
-        """The discovery address of proxy `n`. Each proxy has its own, so that discovery knows which proxy is
-        asking."""
+        """The discovery address of proxy `n`. Each proxy has its own, so that discovery can identify the
+        proxy that calls it."""
         return self._host(FIRST_DISCOVERY_OCTET, 255, n)
 
     def _host(self, first: int, end: int, n: int) -> str:
--- a/slatelab/live/control_channel.py
+++ b/slatelab/live/control_channel.py
@@ -88,6 +88,8 @@
 
 
 class Job(Protocol):
+    """What an emulating process is started with: its settings, and how to build its part."""
+
     @property
     def context(self) -> JobContext: ...
 
@@ -209,4 +211,5 @@
 
 
 def socket_pair() -> tuple[socket.socket, socket.socket]:
+    """Returns the two connected sockets of a channel."""
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/slatelab/live/discovery.py
+++ b/slatelab/live/discovery.py
@@ -1,5 +1,5 @@
 """The discovery process: HTTP over the Registry, with one address per proxy so that the asking proxy is
-known. This module holds the sockets and what each proxy was last told; the content and timing of responses
+known. This module holds the sockets and what each proxy was last sent; the content and timing of responses
 are decided by the Registry."""
 
 from __future__ import annotations
@@ -45,6 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryJob:
+    """What the discovery process is started with."""
+
     context: JobContext
     scenario: Scenario
     endpoints: list[DiscoveryEndpoint]
@@ -106,6 +108,8 @@
 
 
 class Discovery:
+    """Serves the Registry at one address per proxy, and records the calls and the responses."""
+
     def __init__(self, job: DiscoveryJob, channel: HelperChannel) -> None:
         self.job, self.channel = job, channel
         self.registry: Registry
@@ -207,7 +211,7 @@
             self._record(connection.endpoint.proxy, answer)
 
     def _record(self, proxy: str, answer: RegistryResponse) -> None:
-        """Records what the proxy was told. A node that a complete list leaves out counts as reported deleted."""
+        """Records what was sent to the proxy. A node that a complete list leaves out counts as reported deleted."""
         now, listed = self.channel.clock.now(), self.last_listed.setdefault(proxy, set())
         for entry in answer.entries:
             self.channel.facts.add(Told(now, proxy, entry.node, entry.phase, entry.started_at_us))
--- a/slatelab/live/emulated_node.py
+++ b/slatelab/live/emulated_node.py
@@ -244,9 +244,8 @@
             return connection.answer(400, "", b"no request of this day\n")
         now = self.now()
         if self.simulator:
-            self._apply_outputs(
-                self.simulator.advance(now)
-            )  # processes due events first, so that their replies are not delayed
+            # Processes due events first, so that their replies are not delayed.
+            self._apply_outputs(self.simulator.advance(now))
         if self.simulator is None:
             return
         connection.key = call.key
--- a/slatelab/live/load.py
+++ b/slatelab/live/load.py
@@ -1,5 +1,5 @@
-"""The load generator: sends each order at its scheduled time, whatever happened to earlier ones, and each
-retry as its client would. It holds the attempts and records what callers see of them. It never waits for
+"""The load generator: sends each order at its scheduled time, regardless of the outcome of earlier ones,
+and each retry as its client would. It holds the attempts and records what callers see of them. It never waits for
 one attempt before sending another: latency counts from the intended time (open loop), so a stalled proxy
 cannot slow down the offered load."""
 
@@ -45,6 +45,8 @@
 
 @dataclass(eq=False, slots=True)
 class ClientAttempt:
+    """One attempt of an order, in progress."""
+
     order: Order
     attempt: int
     intended: int
@@ -58,6 +60,8 @@
 
 
 class LoadGenerator:
+    """Sends the orders and their retries, and records what the clients observe."""
+
     def __init__(self, job: LoadJob, channel: HelperChannel) -> None:
         self.job, self.channel, self.scenario = job, channel, job.scenario
         channel.uses_day_time = True
--- a/slatelab/live/logs.py
+++ b/slatelab/live/logs.py
@@ -15,6 +15,8 @@
 
 
 class LogLine(NamedTuple):
+    """The parts of a log line; those that it does not state are empty."""
+
     level: str
     topic: str
     text: str
--- a/slatelab/live/nodes.py
+++ b/slatelab/live/nodes.py
@@ -20,6 +20,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodesJob:
+    """What a process that hosts nodes is started with."""
+
     context: JobContext
     scenario: Scenario
     seed: int
@@ -31,6 +33,8 @@
 
 
 class NodeHost:
+    """The nodes of one process, and the faults that are active on them."""
+
     def __init__(self, job: NodesJob, channel: HelperChannel) -> None:
         self.job, self.channel = job, channel
         self.active_faults = ActiveFaults(job.scenario)
--- a/slatelab/live/parent_death_watchdog.py
+++ b/slatelab/live/parent_death_watchdog.py
@@ -14,6 +14,7 @@
 
 
 def main() -> None:
+    """Binds this process to its parent and becomes the command."""
     parent, command = int(sys.argv[1]), sys.argv[2:]
     if ctypes.CDLL(None, use_errno=True).prctl(SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0):
         sys.exit(f"parent_death_watchdog: prctl: {os.strerror(ctypes.get_errno())}")
--- a/slatelab/live/peer_network.py
+++ b/slatelab/live/peer_network.py
@@ -19,8 +19,8 @@
 
 
 class LivePeerNetwork:
-    """`rng` decides the fate of each datagram. Results are not reproducible, as the order of datagrams on
-    real sockets varies."""
+    """`rng` draws the delay, loss and other faults of each datagram. Results are not reproducible, as
+    the order of datagrams on real sockets varies."""
 
     def __init__(self, scenario: Scenario, proxies: list[ProxySpec], rng: Random, scratch: Path) -> None:
         self.config, self.proxies = scenario.fleet, proxies
--- a/slatelab/live/plan.py
+++ b/slatelab/live/plan.py
@@ -23,14 +23,14 @@
 from .front import ProxyAddress
 
 MAX_PROXIES = 300  # each process takes about 30 MB
-NODES_PER_PROCESS, REQUESTS_PER_S_PER_PROCESS = (
-    40,
-    1500,
-)  # limits for one emulating process
+# Limits for one emulating process.
+NODES_PER_PROCESS, REQUESTS_PER_S_PER_PROCESS = 40, 1500
 
 
 @dataclass(slots=True)
 class Plan:
+    """The parts of one run with their addresses, and its fault schedule."""
+
     scenario: Scenario
     random_streams: RandomStreams
     nodes: list[NodeSpec]
@@ -38,13 +38,11 @@
     changes: list[FaultEvent]
     proxy_addresses: dict[str, ProxyAddress]  # by proxy
     discovery_endpoints: dict[str, DiscoveryEndpoint]  # by proxy
-    lab_endpoints: list[
-        DiscoveryEndpoint
-    ]  # by tier: where the lab itself calls; these calls are not recorded
+    # By tier: the endpoint that the lab itself calls; these calls are not recorded.
+    lab_endpoints: list[DiscoveryEndpoint]
     locations: list[NodeLocation]
-    operator_tables: dict[str, str] = field(
-        default_factory=dict
-    )  # additional tables of the operator's file; by proxy
+    # By proxy: additional tables of the operator's file.
+    operator_tables: dict[str, str] = field(default_factory=dict)
 
     def node_address(self, node_id: str) -> str:
         """host:port of a node location."""
--- a/slatelab/live/proxy_processes.py
+++ b/slatelab/live/proxy_processes.py
@@ -87,9 +87,8 @@
             "EDGE_LISTEN": f"{address.host}:{address.port}",
             "EDGE_DISCOVERY": f"{endpoint.host}:{endpoint.port}",
         }
-        if own := fleet.plan.operator_config(
-            self.spec
-        ):  # an older revision ignores this variable and runs without it
+        # An older revision ignores this variable and runs without the file.
+        if own := fleet.plan.operator_config(self.spec):
             env["SLATEHUB_OPERATOR"] = str(self.config.with_suffix(".toml"))
             self.config.with_suffix(".toml").write_text(own)
         reading, writing = os.pipe()
@@ -147,7 +146,7 @@
         self._leave_front(STOP_NOTICE_S)
 
     def stop_now(self) -> None:
-        """Sends SIGKILL if the proxy was told to stop and still runs."""
+        """Sends SIGKILL if the proxy was sent SIGTERM and still runs."""
         if self.child and self.state == "stopping":
             self.kill()
 
--- a/slatelab/live/run.py
+++ b/slatelab/live/run.py
@@ -36,10 +36,8 @@
 START_LEAD_US = 50_000
 HAND_OVER_TIMEOUT_S = 60.0
 END_SLACK_S = 15.0  # after the last order's deadline, for a slow machine
-MIN_STOP_US, STOP_SLACK_US = (
-    3_000_000,
-    700_000,
-)  # a planned stop may take as long as the longest deadline, plus the slack
+# A planned stop may take as long as the longest deadline, plus the slack.
+MIN_STOP_US, STOP_SLACK_US = 3_000_000, 700_000
 QUIET_POLL_S = 0.6  # longer than two ticks of the node processes
 
 
--- a/slatelab/live/supervisor.py
+++ b/slatelab/live/supervisor.py
@@ -80,7 +80,7 @@
                 signal.pidfd_send_signal(child.pidfd, number)
 
     def reap(self, child: Child) -> int:
-        """Waits for a process that is ending and kills whatever it started itself. Returns its exit code, -9
+        """Waits for a process that is ending and kills the remaining processes of its group. Returns its exit code, -9
         for SIGKILL."""
         if child.code is None:
             os.waitid(os.P_PID, child.pid, os.WEXITED | os.WNOWAIT)
--- a/slatelab/live/wire.py
+++ b/slatelab/live/wire.py
@@ -19,7 +19,7 @@
 ) -> bytes:
     """Encodes a complete request of a class. All attempts of an order have the same target, and two orders
     have different targets unless `alike`. `figures` are sent in X-Attrs, which proxies forward unchanged:
-    from them a node knows its work and the proxy that forwarded the request."""
+    from them a node reads its work and the proxy that forwarded the request."""
     method = "GET" if cls.effect == "safe" else "POST"
     lines = [
         f"{method} /{cls.name}{'' if alike else '/' + order_id(request)} HTTP/1.1",
--- a/slatelab/model/clients.py
+++ b/slatelab/model/clients.py
@@ -1,6 +1,6 @@
-"""The outside clients: they send each order at its scheduled time, whatever happened to earlier ones, and retry as
-the scenario's clients do. This module keeps the attempts and records what the clients see of them. The load is open
-loop: no attempt waits for another, and latency counts from the intended time."""
+"""The outside clients: they send each order at its scheduled time, regardless of the outcome of earlier ones, and
+retry as the scenario's clients do. This module keeps the attempts and records what the clients see of them. The load is
+open loop: no attempt waits for another, and latency counts from the intended time."""
 
 from __future__ import annotations
 
--- a/slatelab/model/connection_balancer.py
+++ b/slatelab/model/connection_balancer.py
@@ -69,7 +69,7 @@
         self.to_client.send(self.established)
 
     def deliver(self, client_request: ClientRequest, sent_at: int) -> None:
-        # If the proxy has closed the connection, the client is about to learn of it.
+        # If the proxy has already closed the connection, its close is still on the way to the client.
         if self.open_at_proxy and self.proxy:
             self.unread_request = client_request, sent_at
             self.proxy.client_listener.read(self)
--- a/slatelab/model/direct.py
+++ b/slatelab/model/direct.py
@@ -1,5 +1,5 @@
 """The baseline `proxy.kind = "direct"`: a dispatcher that sends each job once, to a node drawn at random, with no
-limit and no state about nodes. It has the surface of `slatehub.core.dispatcher.Dispatcher`. It stays this simple, as
+limit and no state about nodes. It has the interface of `slatehub.core.dispatcher.Dispatcher`. It stays this simple, as
 the other kinds of proxy are compared with it."""
 
 from __future__ import annotations
--- a/slatelab/model/faults.py
+++ b/slatelab/model/faults.py
@@ -14,6 +14,8 @@
 
 
 class Faults:
+    """Schedules the fault events of a run and applies each at its time."""
+
     def __init__(self, context: SimulationContext, changes: list[FaultEvent]) -> None:
         self.context = context
         self.active_faults = ActiveFaults(context.scenario)
--- a/slatelab/model/node_connections.py
+++ b/slatelab/model/node_connections.py
@@ -25,7 +25,7 @@
 
 
 class PooledNode:
-    """A node as the proxy knows it: its address, and the idle connections to it, the last used one last."""
+    """A node as the proxy sees it: its address, and the idle connections to it, the last used one last."""
 
     __slots__ = ("address", "endpoint", "idle", "simulated_node")
 
--- a/slatelab/model/peer_network.py
+++ b/slatelab/model/peer_network.py
@@ -25,6 +25,8 @@
 
 
 class Spec(Protocol):
+    """The attributes of a ProxySpec that the peer network needs."""
+
     @property
     def name(self) -> str: ...
 
@@ -71,6 +73,7 @@
 
 
 def address(number: int) -> str:
+    """The address in 10.0.0.0/8 of the proxy with this number."""
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
 
 
--- a/slatelab/peers/membership_simulation.py
+++ b/slatelab/peers/membership_simulation.py
@@ -66,7 +66,7 @@
 
     def unfreeze(self, name: str) -> None:
         """Resumes a frozen member. It receives the datagrams buffered meanwhile, as many as a socket buffer
-        holds, and then learns how late it is."""
+        holds, and then detects how late it is."""
         for data in self.frozen.pop(name)[:200]:
             self.peers[name].receive(self.now, data)
         self._advance_peer(name)
--- a/slatelab/peers/randomized_faults.py
+++ b/slatelab/peers/randomized_faults.py
@@ -38,12 +38,15 @@
 
 @dataclass(slots=True)
 class RunResult:
+    """The outcome of a run: broken rules, and counts of what happened."""
+
     violations: list[str]
     counts: Counter[str] = field(default_factory=Counter)
     longest: int = 0  # longest operation, microseconds
 
 
 def draw_events(seed: int, size: int = 3, asks: int = 120, faults: int = 10) -> list[Event]:
+    """Draws `asks` client operations and 1 to `faults` faults for a group of `size` nodes, sorted by time."""
     rng = Random(seed)
     events = [
         Event(rng.randrange(RUN_US), "ask", rng.randrange(size), 0, float(rng.randrange(3)))
@@ -57,6 +60,8 @@
 
 
 class RandomizedRun:
+    """Runs the events of one seed against a simulated group. `same_number`: `reuse_store_id` of `run_seed`."""
+
     def __init__(self, seed: int, size: int, build: ReplicaFactory | None, same_number: bool = False) -> None:
         self.names = [f"p{i}" for i in range(size)]
         self.simulation = ReplicaSimulation(seed, self.names, build=build)
@@ -136,7 +141,7 @@
     def _trap(self, name: str, event: Event) -> None:
         """Provokes the loss of a write if a wiped voter still counts: the first node writes together with the
         second while the third is cut off; then the second loses its storage and is left with the third, so
-        that a majority would have forgotten the write."""
+        that a majority would no longer hold the write."""
         second, third = (self.names[(event.node_index + i) % len(self.names)] for i in (1, 2))
         self._cut(third, replace(event, magnitude=0.0))
         self.simulation.call_after(
@@ -234,6 +239,7 @@
 
 
 def main() -> None:
+    """Entry point of the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-200")
     parser.add_argument("--size", type=int, default=3)
--- a/slatelab/peers/replica_simulation.py
+++ b/slatelab/peers/replica_simulation.py
@@ -54,6 +54,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendToken:
+    """The change that an operation makes to a register: appends one token."""
+
     token: bytes
 
     def __call__(self, found: bytes) -> bytes:
@@ -263,9 +265,8 @@
             disk.synced += disk.unsynced[:count]
             del disk.unsynced[:count]
             disk.fresh = disk.fresh and not disk.synced
-            if (
-                name in self.frozen
-            ):  # the disk continues while the process is frozen; the process learns of the sync when it resumes
+            # The disk continues while the process is frozen; the process is notified of the sync when it resumes.
+            if name in self.frozen:
                 self.call_after(0, lambda: self._mark_durable_later(name, life, count))
                 return
             replica.mark_durable(self._clock(name), replica.durable_index + count)
@@ -303,6 +304,7 @@
 
 
 def tokens(value: bytes) -> list[bytes]:
+    """Splits a register's value into its tokens."""
     return [value[i : i + TOKEN_BYTES] for i in range(0, len(value), TOKEN_BYTES)]
 
 
--- a/slatelab/plant/node_cores.py
+++ b/slatelab/plant/node_cores.py
@@ -22,9 +22,8 @@
 
     def __init__(self, width: int) -> None:
         self._width, self._efficiency = width, 1.0
-        self.heap: list[
-            tuple[float, int, T]
-        ] = []  # attained at its end, serial number (equal ends: first come), item
+        # Entries are (attained at the item's end, serial number, item); of equal ends the first added comes first.
+        self.heap: list[tuple[float, int, T]] = []
         self.attained = self.share = 0.0
         self._serial = 0
 
--- a/slatelab/plant/node_pace.py
+++ b/slatelab/plant/node_pace.py
@@ -21,7 +21,7 @@
 
     def __init__(self, settings: Choke, cores: int) -> None:
         self._settings, self._cores = settings, cores
-        # _condition_since: start of the condition for the next change.
+        # `_condition_since`: when the condition for the next change began to hold; inf if it does not hold.
         self._on_since = self._condition_since = self.due = inf
         self.on = False
 
--- a/slatelab/plant/registry.py
+++ b/slatelab/plant/registry.py
@@ -67,11 +67,10 @@
 
     def __init__(self) -> None:
         self.revision = 1  # 0 is the revision of a proxy that has not called yet
-        self.current: dict[
-            str, RegistryEntry
-        ] = {}  # actual states; deleted nodes remain while in the history
+        # Actual states; deleted nodes remain while they are in the history.
+        self.current: dict[str, RegistryEntry] = {}
         self.false_deletions: frozenset[str] = frozenset()  # nodes falsely published as deleted
-        # With the revision of the last change, in its order.
+        # By node: the revision of its last change and its entry, ordered by that revision.
         self.published: OrderedDict[str, tuple[int, RegistryEntry]] = OrderedDict()
         self.deletions: deque[tuple[int, str]] = deque()  # (revision, node)
 
@@ -139,9 +138,8 @@
         self._queue: OrderedDict[int, _Call] = OrderedDict()  # calls waiting to be processed
         self._in_progress: OrderedDict[int, _Call] = OrderedDict()  # calls being processed, in order of `due`
         self._watches: dict[int, _Call] = {}
-        self._watch_ends: list[
-            tuple[int, int]
-        ] = []  # heap of (until, call id), also of watches already answered
+        # Heap of (until, call id), also of watches already answered.
+        self._watch_ends: list[tuple[int, int]] = []
         self._responses: list[RegistryResponse] = []
 
     def set_node(self, now: int, node: str, phase: str, tier: int, host_port: str, up_since_us: int) -> None:
@@ -255,7 +253,7 @@
         if ceil(self._next_slot) > at:  # it has timed out
             self._responses.append(RegistryResponse(call.call_id, call.proxy, 503))
             return
-        # counted from the exact end of the slot before: rounding to microseconds would lower the rate
+        # Counted from the exact end of the slot before: rounding to microseconds would lower the rate.
         self._next_slot = max(self._next_slot, call.arrived_at) + self._slot_interval
         call.due = at + self._answer
         self._in_progress[call.call_id] = call
@@ -266,9 +264,8 @@
             return
         self._watches[call.call_id] = call
         heapq.heappush(self._watch_ends, (call.until, call.call_id))
-        if (
-            len(self._watch_ends) > 2 * len(self._watches) + 64
-        ):  # many watches were cancelled or answered early
+        # Rebuilds the heap if many watches were cancelled or answered early.
+        if len(self._watch_ends) > 2 * len(self._watches) + 64:
             self._watch_ends = sorted((call.until, call.call_id) for call in self._watches.values())
 
     def _respond(self, call: _Call) -> None:
--- a/slatelab/records.py
+++ b/slatelab/records.py
@@ -142,7 +142,7 @@
 
 
 class ProxyDown(Fact, frozen=True, tag=True, gc=False):
-    """The end of a proxy. `why` is "planned" (when it was told to stop), "killed", "exited" (after planned) or
+    """The end of a proxy. `why` is "planned" (at the SIGTERM), "killed", "exited" (after planned) or
     "crashed"."""
 
     proxy: str
--- a/slatelab/report/plots.py
+++ b/slatelab/report/plots.py
@@ -73,7 +73,7 @@
     return out.getvalue()
 
 
-# ---------------------------------------------------------------- the day
+# ---------------------------------------------------------------- orders and goodput over time
 
 
 def day(views: Sequence[View], names: Sequence[str]) -> bytes:
--- a/slatelab/scenario/types.py
+++ b/slatelab/scenario/types.py
@@ -84,7 +84,7 @@
     answer_slack: Time = 50_000
     ask_every: LongTime = 6_000_000  # a proxy counts as informed of a change after this time
     fleet_attempts: Annotated[float, Field(ge=0, le=20)] = 0.0  # per order, all proxies together; 0: no limit
-    # share of attempts refused while orders of lower worth were accepted elsewhere; 0: no limit
+    # Share of attempts refused while orders of lower worth were accepted elsewhere; 0: no limit.
     inversions: Share = 0.0
 
 
@@ -256,7 +256,7 @@
     patience_least: Share | None = None  # if set, drawn uniformly between this and `patience`
     marks_retry: bool = False
     reckless: bool = False
-    # All orders of a class and tenant send identical requests, so that they cannot be told apart.
+    # All orders of a class and tenant send identical requests, so a proxy cannot distinguish them.
     alike: bool = False
     connections: Positive = 512  # limit of open connections
 
@@ -278,7 +278,7 @@
     reset: a share `part` of the connections breaks.   black-hole: no data, new connections are never established.
     slow: slower by `factor`.   errors: a share `part` of the requests fails at once.
     heavy-tail: a share `part` of the requests (of `cls`, if given) costs `factor` times the work.
-    drain: published as draining, serves for `for`, then stops for good.
+    drain: published as draining, serves for `for`, then stops and is not started again.
     replace: dies, and a new node with a new id starts cold at the same address after `for`.
     discovery-down: does not answer.   discovery-lies: a share `part` of the tier is falsely published as gone.
     strip-headers: the tier's calls to the next tier carry the class's whole deadline instead of the time left, and no
--- a/slatelab/scenario/units.py
+++ b/slatelab/scenario/units.py
@@ -25,7 +25,7 @@
         raise ValueError(f"needs a unit, as in {example!r}; got {value!r}")
     if len(value) > 60:
         raise ValueError(f"too long for a quantity such as {example!r}")
-    # pint evaluates arithmetic: an expression with nested powers would keep it busy for hours
+    # pint evaluates arithmetic: an expression with nested powers would keep it busy for hours.
     if not QUANTITY.fullmatch(value.strip()):
         raise ValueError(f"cannot be read: {value!r}; write it as in {example!r}")
     import pint
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -83,10 +83,8 @@
         monkeypatch.setattr(results.os, name, lambda *args, n=name, f=real: (calls.append(n), f(*args))[1])
     fake_engine.install(monkeypatch)
     run(job(tmp_path))
-    assert calls == ["fsync"] * 4 + [
-        "rename",
-        "fsync",
-    ]  # three files and their folder; then the parent folder
+    # The three files and their folder; after the rename the parent folder.
+    assert calls == ["fsync"] * 4 + ["rename", "fsync"]
 
 
 def test_a_folder_that_cannot_be_written_to_is_reported_before_the_run(
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -208,7 +208,7 @@
     ([BrokenOff(S, "o1.0", True), down(S + 9 * MS, "killed")], ""),
     ([BrokenOff(S, "o1.0", True), down(2 * S, "killed")], "unanswered"),
     ([ProxyUp(S, "p", 0), down(2 * S, "killed")], ""), ([ProxyDown(S, "q", "killed")], "unanswered"),
-    ([down(S, "planned"), down(5 * S, "killed")], ""),  # arrived before the proxy was told to stop
+    ([down(S, "planned"), down(5 * S, "killed")], ""),  # arrived before the planned stop began
     ([down(S, "planned"), down(2 * S, "exited")], "unanswered"), ([down(S, "crashed")], "unanswered"),
     ([down(-S, "planned"), down(S, "killed")], ""),  # killed earlier than the platform does
     ([down(-S, "planned"), down(3 * S, "killed")], "unanswered"),
@@ -279,7 +279,7 @@
 @pytest.mark.parametrize(("told", "after", "more", "violates"), [
     ("p", DRAIN_LIMIT, [], False), ("p", DRAIN_LIMIT + 1, [], True),
     ("p", DRAIN_LIMIT + 9, [Lagged(S, "discovery", 9)], False),
-    ("p", DRAIN_LIMIT + 1, [Told(3 * S, "p", "s-1", "DELETED")], True),  # told again: no new grace period
+    ("p", DRAIN_LIMIT + 1, [Told(3 * S, "p", "s-1", "DELETED")], True),  # informed again: no new grace period
     ("p", DRAIN_LIMIT + 1, [Told(3 * S, "p", "s-1", "SERVING", 2 * S)], False),
     ("p", DRAIN_LIMIT + 1, [Told(3 * S, "q", "s-1", "SERVING", 2 * S)], True),
     ("p", DRAIN_LIMIT + 1, [down(2 * S, "killed"), ProxyUp(3 * S, "p", 0)], False),  # a new process
@@ -288,7 +288,7 @@
     ("q", ASSUMED_DRAIN_LIMIT + 1, [Told(5 * S, "r", "s-1", "SERVING")], False),
     ("q", ASSUMED_DRAIN_LIMIT + 1, [ProxyUp(2 * S, "p", 0)], False),  # it has not been running for that long
     ("q", ASSUMED_DRAIN_LIMIT + 1, [ProxyUp(0, "p", 0), ProxyUp(15 * S, "p", 0)], True),
-    ("q", ASSUMED_DRAIN_LIMIT + 1, [Told(8 * S, "p", "s-1", "DRAINING")], True),  # assumed to be told before
+    ("q", ASSUMED_DRAIN_LIMIT + 1, [Told(8 * S, "p", "s-1", "DRAINING")], True),  # assumed to be informed before
 ])  # fmt: skip
 def test_drains(told: str, after: int, more: list[Record], violates: bool) -> None:
     facts = [
@@ -307,7 +307,7 @@
 
 
 def judge_cold(arrivals: list[tuple[int, int, str]], *more: Record, falls: bool = True) -> JudgeReport:
-    """Judges requests of (time since the start, work, proxy) at a cold node; "p" has been told of its start."""
+    """Judges requests of (time since the start, work, proxy) at a cold node. "p" has been informed of its start."""
     facts: list[Record] = [Up(START, "s-1", 1, 0, 1.0, 0.3, 9 * S), Down(9 * S, "s-1", 0, "killed")]
     facts += [Told(START, "p", "s-1", "SERVING", START), Told(START, "q", "s-1", "SERVING", 5 * S)]
     for n, (t, work, proxy) in enumerate(arrivals):
@@ -316,16 +316,14 @@
 
 
 def test_a_node_that_crashed_while_cold() -> None:
-    """A violation if proxies that were told of this start, not of an earlier one, sent two thirds of the work."""
+    """A violation if proxies informed of this start, not of an earlier one, sent two thirds of the work."""
     crashed, work = Down(START + 2 * S, "s-1", 1, "fell"), 10 * MS
     assert judge_cold([(S, work, "p")] * 2 + [(S, work, "q")], crashed).counts == {"cold-pushed-over": 1}
     assert judge_cold([(S, work, "p")] + [(S, work, "q")] * 2, crashed).passed
-    assert judge_cold(
-        [(400 * MS, work, "p")] * 9 + [(S, work, "q")], crashed
-    ).passed  # that work was before the window
-    assert not judge_cold(
-        [(7 * S, work, "q")], Down(START + 7 * S, "s-1", 1, "fell")
-    ).passed  # counts as told by now
+    # The work of "p" arrived before the window.
+    assert judge_cold([(400 * MS, work, "p")] * 9 + [(S, work, "q")], crashed).passed
+    # By now "q" counts as informed.
+    assert not judge_cold([(7 * S, work, "q")], Down(START + 7 * S, "s-1", 1, "fell")).passed
     assert judge_cold([(S, work, "p")], Down(START + 2 * S, "s-1", 1, "killed")).passed
 
 
@@ -336,8 +334,8 @@
 @given(st.integers(0, 900), ARRIVALS)
 def test_the_budget_equals_that_of_the_node_simulator(begin: int, arrivals: list[tuple[int, int]]) -> None:
     """Work that exceeds the budget by the judge's count also crashes the node simulator, at the same request. Work
-    from proxies that were not told, and at kinds that do not crash, is not limited. The judge allows one microsecond
-    more, so sums that are as close to the budget are left out."""
+    from proxies that were not informed, and at kinds that do not crash, is not limited. The judge allows one
+    microsecond more, so sums that are as close to the budget are left out."""
     detector = ColdOverloadDetector(WarmupRamp(START, 0.3, 9 * S), 1.0, 3.0, 1_500 * MS)
     sorted_arrivals = sorted(((begin + at) * 10 * MS, work * MS) for at, work in arrivals)
     crashed = None
--- a/tests/lab/test_peers_of_scenarios.py
+++ b/tests/lab/test_peers_of_scenarios.py
@@ -59,9 +59,8 @@
     simulation.run()
     assert judge(simulation.context.scenario, simulation.context.records).violations == []
     if kind == "peer-cut":
-        assert (
-            max(counts[0]) <= 5 and sum(counts[0]) <= 30
-        )  # of 26 once all suspicions have expired, 56 before the partition
+        # 26 once all suspicions have expired, 56 before the partition.
+        assert max(counts[0]) <= 5 and sum(counts[0]) <= 30
     assert {
         end.peer.member_counts().present for end in simulation.context.peer_network.endpoints.values()
     } == {7}
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -114,9 +114,8 @@
     scheduler, now = RetryScheduler(RetryAdviceConfig(most_us=most_ms * MS), Random(seed)), 0
     model = ReservationModel(scheduler)
     for kind, key, step in events:
-        if (
-            kind == "return" and model.reservations
-        ):  # exactly on time, or off by an amount that depends on the key
+        # The caller returns exactly on time, or off by an amount that depends on the key.
+        if kind == "return" and model.reservations:
             at, chosen_key = min(model.reservations)
             now, key = max(now, at + (key - 2) * 40 * MS), chosen_key
         else:
@@ -203,9 +202,8 @@
 
 def test_callers_with_a_shared_key_each_get_a_time_and_keep_it():
     scheduler, now = scheduler_at_rate(400)
-    for key in range(
-        100, 110
-    ):  # traffic is no longer usual, so a key cannot become known as shared by its many requests
+    # Traffic is no longer usual, so the many requests of a key do not mark it as shared.
+    for key in range(100, 110):
         scheduler.refused(now, key)
     for _ in range(60):
         scheduler.arrived(now, 7)
@@ -261,7 +259,7 @@
         1 <= sum(scheduler.reservations_per_slot(now)) <= 4 and max(scheduler.reservations_per_slot(now)) == 1
     )
     scheduler.update_backlog(now, 0, 10.0)
-    for _ in range(100):  # nobody waits any more: the rate of served jobs is the lower bound
+    for _ in range(100):  # no request waits any more: the rate of served jobs is the lower bound
         scheduler.served(now := now + 20 * MS, 1)
     assert 35 < scheduler.load.service_rate() < 55
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -37,8 +37,8 @@
 
 @pytest.mark.parametrize("idle_s", [0.5, 3, 60])
 def test_unused_slow_start_credit_lapses_and_its_phase_stays(idle_s: float) -> None:
-    """Ten fleets of thirty proxies with evenly distributed phases: together they save the calls of half a window, and
-    one more."""
+    """Ten fleets of thirty proxies with evenly distributed phases. During a pause the proxies of one fleet together
+    save at most the calls of half a window, plus one."""
     saved = 0
     for n in range(300):
         entries = [Entry(1, since_us=99 * S), Entry(2)]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -156,9 +156,8 @@
             assert (
                 status == 409 and b"outcome unknown; nothing was sent now" in text and b"sent to s-" in text
             )
-        assert (
-            send_keyed(rig, "p0", "c", "full")[0] == 503
-        )  # it provably never ran, so a repeat is sent again
+        # The request provably never ran, so a repeat is sent again.
+        assert send_keyed(rig, "p0", "c", "full")[0] == 503
         ran = executions(rig)["c"]
         assert send_keyed(rig, "p2", "c", "full")[0] == 503 and executions(rig)["c"] > ran
         large = "x" * 600
@@ -186,8 +185,9 @@
         rig.set_faults(lambda net: net.partition("cut", ["p2"], ["p0", "p1"]))
 
         def detected() -> bool:
-            """That voters do not answer shows within the time limit of a request, and cannot be told from a pause of
-            this process: on a busy host the first request may end too early, and only the next one checks again."""
+            """Voters that do not answer are noticed within the time limit of a request, and cannot be distinguished
+            from a pause of this process: on a busy host the first request may end too early, and only the next
+            one checks again."""
             assert send_keyed(rig, "p2", "b")[0] == 503
             return not group_status(rig, "p2")["majority"]
 
@@ -289,9 +289,8 @@
     with running_fleet(tmp_path, 4, voters=3) as rig:
         voters = [name for name in rig.names if name != "p3"]
         wait_until(lambda: all((status := group_status(rig, name)) and status["votes"] for name in voters))
-        wait_until(
-            lambda: send_keyed(rig, "p3", "a")[0] == 200
-        )  # it does not vote, and proposes to the others
+        # p3 does not vote, and proposes to the others.
+        wait_until(lambda: send_keyed(rig, "p3", "a")[0] == 200)
         at = "{}:{}".format(*rig.programs["p0"].management_address)
         result = command("copies", "status", "--at", at)
         assert result.returncode == 0 and "epoch: 1" in result.stdout, result
@@ -334,9 +333,8 @@
             wait_until(lambda name=name: not uses(name, 0))
         for name in rig.names:
             rig.kill(name)
-        monkeypatch.setenv(
-            "TMPDIR", str(tmp_path / "after")
-        )  # without the local state file only the registers are left
+        # Without the local state file only the registers are left.
+        monkeypatch.setenv("TMPDIR", str(tmp_path / "after"))
         shutil.rmtree(rig.folder("p0"))  # the proxy that confirmed the call has lost its store
         for name in rig.names:
             rig.start(name)
@@ -344,9 +342,8 @@
         for name in rig.names:
             wait_until(lambda name=name: not uses(name, 0))
         rig.set_faults(lambda net: net.partition("cut", ["p2"], ["p0", "p1"]))
-        assert (
-            rig.programs["p2"].management_call("PUT", "/nodes/s-1/maint") == 503
-        )  # refused without a majority
+        # Refused without a majority.
+        assert rig.programs["p2"].management_call("PUT", "/nodes/s-1/maint") == 503
         assert uses("p2", 1)
         assert rig.programs["p1"].management_call("PUT", "/nodes/s-0/ready") == 200
         # Only the node that was put back into service remains.
--- a/tests/test_error_paths.py
+++ b/tests/test_error_paths.py
@@ -51,9 +51,8 @@
     monkeypatch.setattr(pipe_module, "STALL_TIMEOUT_S", 0.01)
     closed: list[int] = []
     pipe = Pipe(lambda: closed.append(1))
-    assert (
-        pipe.read_chunk() is None and pipe.read_chunk() is None
-    )  # no chunk arrives: the body counts as cut off, for good
+    # No chunk arrives in time: this read and every later one report the body as cut off.
+    assert pipe.read_chunk() is None and pipe.read_chunk() is None
     pipe = Pipe(lambda: closed.append(2))
     pipe.write_chunk(b"a")
     with pytest.raises(ReaderClosed):
@@ -335,9 +334,8 @@
     rig.driver.attempt_ended(rig.attempts[0], Status.OK, (), "print")
     assert rig.answers == [("a", Answer(AnswerStatus.SERVED, "print"))] and not list(tmp_path.iterdir())
     again = FlightRecorder(lambda: rig.dispatcher.balancer, lambda: {}, 10)
-    again.configure(
-        ("n0", 0, "", ""), 10, str(tmp_path), 2
-    )  # otherwise it would write to the tests' working directory
+    # Without a folder of its own the recorder would write to the tests' working directory.
+    again.configure(("n0", 0, "", ""), 10, str(tmp_path), 2)
     monkeypatch.setattr(recorder.flight, "freeze", fails)
     again.record_fault(ValueError("planted"))
     assert again.ring is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -128,7 +128,8 @@
         callers = LoadClients(rig, 6)
         wait_until(lambda: callers.statuses[1] > 50 and all(shared(rig, "in_use")))
         rig.nodes[1].bad = True
-        wait_until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]  # the fourth proxy probes it
+        # The fourth proxy probes the node.
+        wait_until(lambda: sum(shared(rig, "left_to_others")) == 3)  # type: ignore[arg-type]
         rig.nodes[1].bad = False
         wait_until(lambda: sum(shared(rig, "left_to_others")) == 0)  # type: ignore[arg-type]
         seen = len(rig.nodes[1].requests)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -89,9 +89,8 @@
     with proxy_without_discovery(tmp_path, monkeypatch) as (program, nodes, discovery):
         idle = open_idle_connections(program, used)
         assert descriptor_count(program) <= SMALL_LIMITS["sockets"]
-        assert (
-            program.request(build_request("ok"))[0] == 200
-        )  # the caller idle for longest is closed, and the connection to the node gets its descriptor
+        # The caller idle for longest is closed, and the connection to the node gets its descriptor.
+        assert program.request(build_request("ok"))[0] == 200
         assert program.management_call("GET", "/healthcheck") == 200
         wait_until(lambda: len([x for x in list(program.log) if "call failed" in x]) > 1)
         discovery.start()
@@ -101,9 +100,8 @@
         assert {program.request(build_request("ok"))[0] for _ in range(3)} == {200}
         assert len(nodes[0].requests) == before and nodes[1].requests
         assert descriptor_count(program) <= SMALL_LIMITS["sockets"]
-        assert not [
-            x for x in program.log if "cannot accept" in x
-        ]  # accept never fails for lack of descriptors
+        # `accept` never fails for lack of descriptors.
+        assert not [x for x in program.log if "cannot accept" in x]
         for conn in idle:
             conn.close()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,6 +1,6 @@
-"""Callers that disconnect while they wait: no further attempt is started for them, whatever hides the disconnect, and
-all counts are right afterwards. Real connections and a real process, also with settings that do not allow
-cancellation."""
+"""Callers that disconnect while they wait: no further attempt is started for them, even where the
+disconnect is hard to notice, and all counts are right afterwards. Real connections and a real process, also with
+settings that do not allow cancellation."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def half_close(conn: socket.socket) -> None:
-    """Closes the sending side only: the proxy cannot tell this from a close, so it counts as a disconnect."""
+    """Closes the sending side only: the proxy cannot distinguish this from a close, so it counts as a disconnect."""
     conn.shutdown(socket.SHUT_WR)
 
 
@@ -137,9 +137,8 @@
             conn.sendall(request("ok"))
             disconnect(conn)
         p.program.process.send_signal(signal.SIGCONT)
-        assert (
-            p.program.request(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 200
-        )  # accepted after all of the others
+        # This connection is accepted after all of the others.
+        assert p.program.request(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 200
         wait_until(lambda: open_sockets(p) == before)
         finish()
         for conn in conns:
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -387,9 +387,8 @@
 def test_a_connection_that_never_comes_up_has_not_run() -> None:
     with open_listener() as listener:
         listener.listen(0)
-        queued = [
-            socket.create_connection(listener.getsockname()) for _ in range(1)
-        ]  # the kernel's accept queue is full now
+        # This connection fills the kernel's accept queue.
+        queued = [socket.create_connection(listener.getsockname()) for _ in range(1)]
         balancer = ScriptedBalancer(Send(1, 1))
         rig = DispatcherRig(balancer)
         pool = make_pool(rig, listener)
@@ -417,9 +416,8 @@
         settings=Settings((kind,)), classes={"orders": 0}, accounts={}, operator=OperatorConfig()
     )
     http_server = HttpServer(config, rig.driver, max_connections, memory_limit)
-    http_server.stall_detector = StallDetector(
-        clock()
-    )  # as `start` does; without it the server would count as stalled
+    # As `start` does; without it the server would count as stalled.
+    http_server.stall_detector = StallDetector(clock())
     return http_server
 
 
@@ -611,9 +609,8 @@
 def test_a_node_that_has_just_come_back_gets_few_handshakes_at_once() -> None:
     with open_listener() as listener:
         listener.listen(0)
-        queued = [
-            socket.create_connection(listener.getsockname())
-        ]  # the kernel's accept queue is full: no handshake ends
+        # This connection fills the kernel's accept queue, so no later handshake ends.
+        queued = [socket.create_connection(listener.getsockname())]
         rig = DispatcherRig(ScriptedBalancer())
         pool = make_pool(rig, listener)
         pool.set_node(1, listener.getsockname(), clock())
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -171,9 +171,8 @@
         while not read.endswith(last):
             read += os.read(fds[0], 1 << 20)
             log_writer(last)
-        assert [
-            line for line in read.splitlines(True) if line != last
-        ] == taken  # whole, complete and in order
+        # Every line is whole, none is missing, and they are in order.
+        assert [line for line in read.splitlines(True) if line != last] == taken
         os.close(fds[0])
         assert not log_writer(last) and not NonBlockingWriter(-1)(last)
         os.close(fds[1])
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -51,9 +51,8 @@
 
 def test_refused_at_once_when_held_and_in_flight_reach_the_sum_of_n():
     d = Driver(settings(), servers=2)
-    d.serve(
-        1, 30, latency=99 * MS
-    )  # N is half of 1 s divided by a round trip of about 100 ms: five per server
+    # N is half of 1 s divided by a round trip of about 100 ms: five per server.
+    d.serve(1, 30, latency=99 * MS)
     outcomes = [finals(d.ask(100 + i)) for i in range(25)]
     refused = [i for i, o in enumerate(outcomes) if o]
     assert refused and 9 <= refused[0] <= 11
@@ -440,10 +439,8 @@
         d.end(i)
         d.wait(1 * S)
     assert d.balancer.slots < 0.7
-    assert [len(sends(d.ask(i))) for i in (100, 101)] == [
-        1,
-        1,
-    ]  # servers are idle: no call is queued or refused
+    # The servers are idle: no call is queued or refused.
+    assert [len(sends(d.ask(i))) for i in (100, 101)] == [1, 1]
     d.end(100)
     d.end(101)
     d.balancer.mean_occupied_slots = 1.0
@@ -601,9 +598,8 @@
         total += credit
         users += credit > 0
     assert users == 8
-    assert total == pytest.approx(
-        0.5 * 2.0 * 0.6 / 25, rel=0.01
-    )  # half of multiple x capacity in 1 ms, over two tiers
+    # Half of multiple x capacity in 1 ms, over two tiers.
+    assert total == pytest.approx(0.5 * 2.0 * 0.6 / 25, rel=0.01)
 
 
 ODD_TENANTS = [(), (Tenant("a", 0.0, 0.0),), (Tenant("a", 1.0, 1e-9), Tenant("b", -1.0, -5.0))]
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,5 +1,5 @@
 """Limits for connections from callers and to nodes: never more than the rate and the window allow, and a connection
-that asks again when told to is allowed in the end."""
+that asks again after the wait it was given is allowed in the end."""
 
 from __future__ import annotations
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -56,7 +56,7 @@
         opened and opened.body == b"x" * MAX_BODY_BYTES and opened.is_current_session and opened.session == 1
     )
     assert b.open(data) is None and b.counts["replay"] == 1
-    # a datagram to an earlier session of the receiver proves only that a key holder wrote it
+    # A datagram to an earlier session of the receiver proves only that a key holder wrote it.
     assert not b.open(a.seal(b"", 77)).is_current_session  # type: ignore[union-attr]
     assert a.open(a.seal(b"", 1)) is None and a.counts["own"] == 1
     with pytest.raises(ValueError, match="a body of"):
@@ -449,7 +449,7 @@
 @quick
 @given(st.integers(2, 40), st.integers(0, 99))
 def test_tree_has_no_cycles_with_differing_member_lists(count: int, seed: int) -> None:
-    """Whichever members each one knows, its parent has a lower rank."""
+    """For any member list, the parent of a member has a lower rank than the member."""
     rng = random.Random(seed)
     names = [f"p{i}" for i in range(count)]
     for name in names:
@@ -548,9 +548,8 @@
     # A lower rate of served calls does not raise the work per call.
     assert work(40.0, LocalEstimate(4, 100_000.0)) == pytest.approx(50_000)
     assert work(40.0, LocalEstimate(4, 30_000.0)) == 30_000  # never more than the proxy's own estimate
-    assert (
-        work(1e6, LocalEstimate(4, 90_000.0)) == 30_000
-    )  # and never less than a third of it, however false the sum
+    # Never less than a third of it either, however wrong the sum is.
+    assert work(1e6, LocalEstimate(4, 90_000.0)) == 30_000
     assert FleetPolicy("c").evaluate(EPOCH, load(50.0), None, 0, ["b"], LocalEstimate(4, 9.0)).work == 0.0
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -256,7 +256,7 @@
         p.discovery.push([first, {**second, "phase": "DELETED"}])
         wait_until_applied()
         assert {send(p, build_request("ok"))[0] for _ in range(4)} == {200} and len(p.nodes[0].requests) == 4
-        # After a failure the proxy asks again and keeps its list.
+        # After a failure the proxy calls discovery again and keeps its list.
         p.discovery.push_raw(b"{}", b"503 Service Unavailable")
         # The node has a new address.
         p.discovery.push([{**second, "host_port": p.nodes[0].address}], complete=True)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -193,7 +193,7 @@
 def test_one_tenants_flood_is_flagged_and_is_no_storm_of_all(
     seed: int, distinct_keys: int, retries: int
 ) -> None:
-    """Where nobody retries, requests of the other tenants may be refused too."""
+    """Where no caller retries, requests of the other tenants may be refused too."""
     callers = Callers(seed, 40, distinct_keys, retries)
     callers.add_requests(20, 24, 120, tenant=3)
     callers.run(30, Outage(20, 24, tenant=3), Outage(20, 24, 0.02 if retries else 0.5))
