--- a/paddlestep/balance.py
+++ b/paddlestep/balance.py
@@ -1,9 +1,9 @@
 """The decision module of paddlestep. Settings, events and actions are defined in paddlestep/interface.py.
 
 The ordinary path follows Ould Deye's queue and slots. A request that finds the number of queued and in-flight calls
-at or above the sum of N_i is refused at once. Otherwise it waits first-come, first-served until a server holds fewer
-than K_i of this sidecar's calls. Every answer updates the estimates and frees a slot. All other code here handles an
-exception to that path; its comment says when it applies, which failure it prevents and when it may do harm.
+at or above the sum of N_i is refused immediately. Otherwise it waits first-come, first-served until a server holds
+fewer than K_i of this sidecar's calls. Every answer updates the estimates and frees a slot. All other code here handles
+an exception to that path; its comment says when it applies, which failure it prevents and when it may do harm.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 RETRIES_PER_REQUEST = 0.1  # retry budget gained with each request
 # Retry budget gained by a class with each of its requests, and by a server with each call sent to it.
 RETRY_SHARES = 0.3, 0.5
-BURST_FACTOR = 8.0  # extra calls at once for each slot that was unused on average
+BURST_FACTOR = 8.0  # extra concurrent calls for each slot that was unused on average
 MIN_PREFERRED_SERVERS = 4  # size of the preferred subset unless the sidecar is assigned more servers
 # A class counts as fairly served from this multiple of the average admission rate on. A class that is fairly served
 # but worth less for its work than usual may use this part of the admission limit during a shortage.
@@ -165,9 +165,8 @@
         self.peers = Peers()  # the latest summary of the siblings, empty if they send none
         # Fractions of calls that ended as FULL and as CONNECT_FAILED.
         self.rejection_rate = self.connect_failure_rate = 0.0
-        self.timers: list[
-            tuple[int, int, int]
-        ] = []  # heap: due, sequence number, request id or negated endpoint
+        # Heap of (due, sequence number, request id or negated endpoint).
+        self.timers: list[tuple[int, int, int]] = []
         self.timer_sequence = 0
         self.next_dispatch_at = 0
         self.watch_at = 0
@@ -425,8 +424,8 @@
 
     def assign_subsets(self, changed: list[Server]) -> None:
         """Divides the servers among the siblings in order of their endpoints (deterministic subsetting). Siblings
-        cannot see each other's calls; if each prefers servers that the others use last, it knows their load. The
-        preferred subset holds the assigned servers and a few more, which saves connections and gives enough samples
+        cannot see each other's calls; if each prefers servers that the others use last, it knows the load of its own.
+        The preferred subset holds the assigned servers and a few more, which saves connections and gives enough samples
         per server. Positions on the list are divided in proportion, so that a change of the list moves each sidecar
         by one or two positions and most estimates stay useful. The subset is only a preference: while its servers
         are full or bad, all others are used too. May do harm while siblings hold very different lists."""
@@ -510,7 +509,7 @@
             self.refresh_sums(self.ready[self.refresh_turn % len(self.ready)])
         over = self.over_allowance(a.tenant)
         # Without a usable server there is no N_i, and requests wait for a server until their deadline. Requests that
-        # return when told to may use the reserved places; new requests may not.
+        # return at the time they were advised may use the reserved places; new requests may not.
         limit = self.admission_limit(wanted) * (self.admission_factor(a.cls) if front else 1.0) - a.reserve
         admitted = not (len(self.ready) > self.ejected_count and self.waiting + self.in_flight >= limit)
         self.class_admission_rates[a.cls] += (admitted - self.class_admission_rates[a.cls]) * 0.05
@@ -626,7 +625,7 @@
             if not request.attempts:
                 break
         self.queue.extendleft(reversed(skipped))
-        # Slow-start credit grows and averages fall without an event.
+        # Slow-start credit grows and averages fall without an event, so this must run again.
         if self.waiting and not self.next_dispatch_at:
             self.next_dispatch_at = self.now + 5 * self.settings.tick_us
 
@@ -690,7 +689,7 @@
     def accrue_slow_start_credit(self, s: Server) -> float:
         """Adds the slow-start credit that a cold server has gained and returns the total. The credit is half of what
         all sidecars may send to a cold server, divided among those that prefer it, with a random phase; others send it
-        nothing. Unused credit lapses, because saved credit of many sidecars spent at once would overload the server;
+        nothing. Unused credit lapses, because saved credit of many sidecars spent together would overload the server;
         so all together send at most what it may get, and one call more. The service time used is the server's part
         of an uncrowded trip through the tiers from here on, which is an underestimate. May do harm where the tiers
         below do no work, or with few callers."""
@@ -890,7 +889,7 @@
             self.recent_responders.append(s)
         # One connection may break while the server is up. The server is presumed dead only if it answers nothing before
         # the next call is reset or cannot connect. Otherwise connections that break one by one would limit every server
-        # to slow start. May harm a server that restarts at once and held only one call of this sidecar: it gets the
+        # to slow start. May harm a server that restarts immediately and held only one call of this sidecar: it gets the
         # following calls without slow start.
         suspected = s.last_reset_at or s.ejection_count
         if (e.status is Status.RESET and s.last_reset_at) or (
@@ -915,7 +914,7 @@
             return
         if e.status is Status.FULL:
             # The server rejected the call because it is crowded by calls of others. Exponential backoff, because asking
-            # again at once costs it work. May avoid a server that was full only briefly for a few service times.
+            # again immediately costs it work. May avoid a server that was full only briefly for a few service times.
             s.consecutive_rejections += 1
             wait = (
                 self.expected_service_us(request.cls)
@@ -934,7 +933,7 @@
             # Only an age out of proportion counts against the server; a short remaining time does not.
             age = e.latency_us / max(1.0, expected)
             penalty = 0.3 * min(1.0, max(0.0, age / OVERDUE_FACTOR - 0.5) * 2) if request.open else 0.0
-        else:  # a connect that timed out says little, as other connections to the same server succeed
+        else:  # a connect that timed out is weak evidence, as other connections to the same server succeed
             penalty = 0.1 if e.status is Status.CONNECT_FAILED else 0.3
         self.raise_error_score(s, request.cls, penalty)
         ready = len(self.ready)
@@ -986,7 +985,7 @@
             named = {entry.endpoint for entry in e.entries}
             for s in [s for x, s in self.servers.items() if x not in named]:
                 self.remove_server(s)
-        # Not for an empty answer of a watch.
+        # Skipped when a watch on a long list answers without a change.
         if e.kind is not ListKind.DELTA or e.entries or len(self.ready) <= FULL_SCAN_SERVERS:
             self.assign_subsets(changed)
         # The burst allowance starts at 0, because there is no sign of free capacity yet.
@@ -994,7 +993,7 @@
             self.mean_occupied_slots = self.slots
 
     def remove_server(self, s: Server) -> None:
-        """Removes a server that is gone or was restarted, and takes its amounts off the sums."""
+        """Removes a server that is gone or was restarted, and subtracts its amounts from the sums."""
         s.entry = replace(s.entry, state=State.GONE)
         self.ejected_count -= s.counted_ejected
         s.counted_ejected = False
--- a/paddlestep/interface.py
+++ b/paddlestep/interface.py
@@ -152,12 +152,12 @@
     cls: int
     tenant: int = 0
     key: int = 0
-    left_us: int = 0  # until the client gives up this attempt
+    left_us: int = 0  # time left until the client abandons this attempt
     hint_us: int | None = None  # expected work, if the client gives it
     repeat: bool = False  # marked by the client as a retry
     write: bool = False
-    kept: bool = False  # returns at the time it was told to retry
-    reserve: int = 0  # capacity to keep free for requests told to retry now
+    kept: bool = False  # returns at the time it was advised to retry
+    reserve: int = 0  # capacity to keep free for requests advised to retry now
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlestep/wire.py
+++ b/paddlestep/wire.py
@@ -35,7 +35,7 @@
     TimerFired,
 )
 
-FRAME_LIMIT = 1 << 28
+FRAME_LIMIT = 1 << 28  # bytes of the largest frame
 MOST_ITEMS = 4096  # of a list in the settings
 HEAD = struct.Struct(">IIQ")
 ENTRY = struct.Struct(">fQH6sHBH")
--- a/slatehub/cli/main.py
+++ b/slatehub/cli/main.py
@@ -71,11 +71,13 @@
 
 
 def recovery(config: ProxyConfig) -> RecoveryConfig:
+    """The storm detection and retry advice that the operator's file enables."""
     storms = config.operator.storms
     return RecoveryConfig(storms.watch, storms.advice)  # type: ignore[arg-type]  # checked by the reader
 
 
 def configure_log(config: ProxyConfig) -> None:
+    """Applies the log settings; each line names the proxy and its tier."""
     configure(**asdict(config.operator.log), proxy=config.name, tier=config.settings.tier)
 
 
--- a/slatehub/cli/management.py
+++ b/slatehub/cli/management.py
@@ -42,9 +42,11 @@
         return self.process is not None and self.process.hot_restart.is_connected
 
     def inherit(self) -> InheritedState | None:
+        """See `Process.inherit`."""
         return self._load_process().inherit()
 
     def take_over(self, inherited: InheritedState | None) -> None:
+        """See `Process.take_over`."""
         self._load_process().take_over(inherited)
 
     def open(self, listener: Any) -> None:
--- a/slatehub/cli/process.py
+++ b/slatehub/cli/process.py
@@ -44,11 +44,13 @@
         self.apply_operation = self.operations.apply_operation
 
     def suspend(self) -> None:
+        """Stops accepting, and leaves the folder of the copies and the name in the fleet to the successor."""
         self.http_server.suspend()
         self.copies.suspend()
         self.peers.suspend()
 
     def resume(self) -> None:
+        """Serves again after the successor has ended."""
         self.http_server.resume()
         self.peers.serve()
         self.copies.serve()
@@ -70,6 +72,7 @@
         self.hot_restart.announce_serving()
 
     def export_state(self) -> dict[str, Any]:
+        """The state for the successor, as a JSON object."""
         return {
             "out": self.maintenance.started_at,
             "back": dict(self.maintenance.ended_at),
@@ -77,6 +80,7 @@
         }
 
     def get_listener(self, listen: Any) -> Any:
+        """The callers' listener if it is bound to this address; else None."""
         is_current = (
             listen == list(self.http_server.config.listen)
             and self.http_server.started
@@ -85,6 +89,7 @@
         return self.http_server.listener if is_current else None
 
     def set_shared(self, linked: bool) -> None:
+        """Sets whether another process of this proxy is connected, which gets half of the resource limits."""
         callers, nodes, bytes_held = self.resource_shares(linked)
         self.http_server.apply_settings(self.http_server.config, callers, bytes_held, None)
         self.node_pool.apply_settings(self.http_server.config, nodes)
--- a/slatehub/cli/recorder_lifecycle.py
+++ b/slatehub/cli/recorder_lifecycle.py
@@ -72,5 +72,6 @@
             log_event("recorder", "is off, so there is nothing to write: see recorder.batches", "warning")
 
     def finish(self) -> None:
+        """Ends the recording as the process ends."""
         if self.recorder:
             self.recorder.finish(self.settings.on_stop)
--- a/slatehub/cli/store.py
+++ b/slatehub/cli/store.py
@@ -76,6 +76,7 @@
 
 @contextmanager
 def open_read_only(folder: str) -> Iterator[Folder]:
+    """Opens the folder, and closes it at the end of the block. Raises ClickException."""
     try:
         files = ReadOnlyFolder(folder)
     except OSError as problem:
@@ -87,6 +88,7 @@
 
 
 def open_log(files: Folder) -> tuple[WriteAheadLog, RecoveryResult]:
+    """Opens the write-ahead log of the folder and reads its records. Raises ClickException."""
     log = WriteAheadLog(files)
     try:
         return log, log.open()
@@ -150,6 +152,7 @@
 
 
 def restore_acceptor(folder: str) -> tuple[WriteAheadLog, RecoveryResult, Acceptor, list[LogRecord]]:
+    """Reads the folder: its log, what was found, the restored acceptor and the decoded records."""
     with open_read_only(folder) as files:
         log, found = open_log(files)
     records = []
--- a/slatehub/copies/driver.py
+++ b/slatehub/copies/driver.py
@@ -164,6 +164,7 @@
         self._process_output()
 
     def broadcast(self, topic: int, body: bytes) -> None:
+        """Sends the payload to all reachable members."""
         self.fleet.broadcast(topic, body)
 
     def change_voters(self, what: str, name: str, new: str) -> str:
@@ -178,6 +179,7 @@
         return row.value if row else b""
 
     def has_quorum(self) -> bool:
+        """Whether a quorum seems reachable."""
         return self.replica.has_quorum()
 
     # ------------------------------------------------------------ fleet link
--- a/slatehub/copies/fleet_maintenance.py
+++ b/slatehub/copies/fleet_maintenance.py
@@ -31,6 +31,8 @@
 
 
 class Registers(Protocol):
+    """The replicated registers, and the link to the other members."""
+
     def propose(
         self,
         key: bytes,
@@ -62,9 +64,11 @@
         self.greenlet: Any = None
 
     def open(self) -> None:
+        """Starts reading the registers."""
         self.greenlet = gevent.spawn(self._poll)
 
     def close(self) -> None:
+        """Stops reading the registers."""
         if self.greenlet:
             self.greenlet.kill()
 
--- a/slatehub/copies/reconfiguration.py
+++ b/slatehub/copies/reconfiguration.py
@@ -103,9 +103,8 @@
     def __call__(self, value: bytes) -> bytes | None:
         try:
             self.found = decode_config(value) if value else self.known
-            if (
-                self.found.epoch > self.known.epoch
-            ):  # perhaps accepted by a minority only: writing it again decides it
+            if self.found.epoch > self.known.epoch:
+                # Perhaps accepted by a minority only: writing it again decides it.
                 self.failure = "it had changed meanwhile"
                 return value
             return pack(self.step(self.found))
--- a/slatehub/copies/replica.py
+++ b/slatehub/copies/replica.py
@@ -152,9 +152,8 @@
         self.resumed_at = now
         self.store_failure = ""
         self.durable_index = 0
-        self.deferred_replies: deque[tuple[int, str, Message]] = (
-            deque()
-        )  # (log record index, recipient, reply)
+        # (log record index, recipient, reply)
+        self.deferred_replies: deque[tuple[int, str, Message]] = deque()
         self.outgoing: list[tuple[str, Message]] = []
         self.self_messages: deque[Message] = deque()  # messages to this replica itself
         self.results: list[OperationResult] = []
--- a/slatehub/core/commands.py
+++ b/slatehub/core/commands.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverAnswer:
-    """Delivers the one final answer of a job to its responder, at once."""
+    """Delivers the one final answer of a job to its responder, immediately."""
 
     job: Job
     answer: Answer
--- a/slatehub/core/jobs.py
+++ b/slatehub/core/jobs.py
@@ -8,6 +8,8 @@
 
 
 class AnswerStatus(Enum):
+    """What the final answer of a job means."""
+
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
--- a/slatehub/core/recovery.py
+++ b/slatehub/core/recovery.py
@@ -19,14 +19,14 @@
 # Advice is at most this fraction of the shortest aim: a caller that retries later is served too late to be
 # useful.
 AIM_DIVISOR = 4
-ALL_SLOTS = 2**31
+ALL_SLOTS = 2**31  # more slots than there can be
 # With more, a proxy recognises so few retries that chance alone would look like a storm.
 MAX_SIBLINGS_FOR_SCALING = 8
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """What of it is enabled. `advice`: the policy by which refused callers are told when to retry."""
+    """What of it is enabled. `advice`: the policy by which refused callers are advised when to retry."""
 
     watch: bool = True
     advice: AdvicePolicy = "appointments"
@@ -81,7 +81,7 @@
 
     def reserved_slots(self, now: int, job: Job) -> int:
         """Slots that this job must leave free. None if it came at its advised time. All of them if it came
-        early while other jobs are queued: it is refused at once, without work, and delays nobody else."""
+        early while other jobs are queued: it is refused immediately, without work, and delays no other job."""
         if job.came_early and self.jobs_queued:
             return ALL_SLOTS
         return 0 if job.came_on_time else self.adviser.reserved_slots(now)
@@ -100,6 +100,7 @@
         return min(wait_us, self.settings.max_retry_after_us)
 
     def job_answered(self, now: int, job: Job, status: AnswerStatus) -> None:
+        """A job has had its final answer."""
         served = status is AnswerStatus.SERVED
         if served:
             self.adviser.served(now, 1)
--- a/slatehub/core/stages.py
+++ b/slatehub/core/stages.py
@@ -27,6 +27,7 @@
         self.deadlines: list[tuple[int, int]] = []
 
     def add(self, job: Job) -> None:
+        """Numbers the job and adds it."""
         self.last_number += 1
         job.number = self.last_number
         self.jobs[job.number] = self.by_request_id[job.request_id] = job
@@ -195,6 +196,7 @@
         return Outcome(job.number, attempt.number, attempt.endpoint, status, elapsed_us, job.answered, report)
 
     def close(self, job: Job) -> None:
+        """Removes an answered job from the table once all its attempts have ended."""
         if job.answered and all(a.finished for a in job.attempts):
             self.job_table.jobs.pop(job.number, None)
             # Each attempt refers to the job: the cycle would keep its body until the garbage collector runs.
--- a/slatehub/decisions/advice/backoff.py
+++ b/slatehub/decisions/advice/backoff.py
@@ -9,7 +9,7 @@
 from .load_estimator import SharedKeyDetector
 
 FIRST_SPAN_US = 200_000  # span of the first refusal
-MAX_DOUBLINGS = 10
+MAX_DOUBLINGS = 10  # 204.8 s, more than the longest advice that can be configured
 MAX_KEYS = 4_096  # counted at once: those refused in 4 s at 1,000 refusals a second
 
 
--- a/slatehub/decisions/advice/load_estimator.py
+++ b/slatehub/decisions/advice/load_estimator.py
@@ -25,11 +25,13 @@
         self.span_s = seen_s
 
     def decay(self, seconds: float) -> None:
+        """Lets this much time pass without an event."""
         remaining = exp(-seconds / self.time_constant_s)
         self.count *= remaining
         self.span_s = self.span_s * remaining + self.time_constant_s * (1 - remaining)
 
     def per_s(self) -> float:
+        """The events per second; 0 while no time has been observed."""
         return self.count / self.span_s if self.span_s else 0.0
 
 
@@ -40,7 +42,7 @@
     how many arrived, not how many can be served. Time without pressure counts a little, so that there is an
     estimate before the first pressure and an old one fades within a minute. The rate of all jobs served is
     the lower bound. Under pressure the estimate follows an outage within about `time_constant_s` seconds,
-    neither at once nor much later."""
+    neither immediately nor with a much longer delay."""
 
     def __init__(self, time_constant_s: float = 1.0) -> None:
         self.served_under_pressure = Rate(time_constant_s, seen_s=time_constant_s / 50)
@@ -81,22 +83,26 @@
         return self.refusals.count <= CALM_REFUSED_SHARE * self.arrivals.count
 
     def arrival(self, now: int, is_newcomer: bool) -> None:
+        """A caller has arrived. `is_newcomer`: it has no reservation."""
         self.advance(now)
         self.arrivals.count += 1
         if is_newcomer and self.is_calm():
             self.baseline.count += 1
 
     def refused(self, now: int) -> None:
+        """A caller was refused."""
         self.advance(now)
         self.refusals.count += 1
         self.refused_at = now
 
     def served(self, now: int, jobs: int) -> None:
+        """So many jobs have been served."""
         self.advance(now)
         self.served_total.count += jobs
         self.served_under_pressure.count += jobs * self.time_weight
 
     def set_waiting(self, now: int, waiting: int) -> None:
+        """Sets the number of queued jobs."""
         self.advance(now)
         self.waiting = waiting
 
@@ -135,6 +141,7 @@
         self.recent = [(0, -self.CONCURRENT_US - 1)] * self.RECENT_ARRIVALS
 
     def arrived(self, now: int, key: int, calm: bool) -> None:
+        """This key has arrived. `calm`: traffic is usual, so that the arrival is counted."""
         previous_key, at = self.recent[key % self.RECENT_ARRIVALS]
         self.recent[key % self.RECENT_ARRIVALS] = (key, now)
         if previous_key == key and now - at <= self.CONCURRENT_US:
@@ -143,10 +150,12 @@
             self._count(key % self.CELLS, 1)
 
     def refused(self, key: int) -> None:
+        """The latest arrival of this key has been refused, so the caller may soon come again."""
         if self.recent[key % self.RECENT_ARRIVALS][0] == key:
             self.recent[key % self.RECENT_ARRIVALS] = (0, -self.CONCURRENT_US - 1)
 
     def shared(self, key: int) -> bool:
+        """Whether many requests seem to share this key."""
         cell = key % self.CELLS
         return self.previous_counts[cell] + self.current_counts[cell] >= self.SHARED_COUNT
 
--- a/slatehub/decisions/advice/reservations.py
+++ b/slatehub/decisions/advice/reservations.py
@@ -20,6 +20,8 @@
 
 
 class Reservation:
+    """The time at which the caller of a key is expected, in microseconds."""
+
     __slots__ = ("at", "kept", "key", "times_advised")
 
     def __init__(self, at: int, key: int) -> None:
@@ -50,6 +52,7 @@
     # ------------------------------------------------------------ slots
 
     def slot_start(self, slot: int) -> int:
+        """When the slot begins, in microseconds."""
         return slot * self.config.slot_us + self.offset_us
 
     def first_slot(self, at: int) -> int:
@@ -62,6 +65,7 @@
         return (now + self.config.most_us - self.offset_us) // self.config.slot_us - 1
 
     def reserved_in(self, slot: int) -> int:
+        """The number of reservations in a slot that has not begun."""
         return len(self.ring[slot % len(self.ring)])
 
     # ------------------------------------------------------------ time
@@ -121,6 +125,7 @@
     # ------------------------------------------------------------ callers
 
     def add(self, key: int, slot: int, at: int) -> Reservation:
+        """Adds a reservation to a slot that has not begun."""
         reservation = Reservation(at, key)
         self.ring[slot % len(self.ring)].append(reservation)
         self.upcoming[key] = reservation
--- a/slatehub/decisions/advice/retry_scheduler.py
+++ b/slatehub/decisions/advice/retry_scheduler.py
@@ -28,7 +28,7 @@
 MAX_REMINDERS = 8
 FIBONACCI_MULTIPLIER = 2_654_435_769  # 2^32 / golden ratio
 KEPT_SHARE_WEIGHT = 1 / 32  # weight of one ended reservation in the share of those kept
-INITIAL_KEPT_SHARE = 0.7
+INITIAL_KEPT_SHARE = 0.7  # share of reservations assumed to be kept before any has ended
 
 
 class RetryScheduler:
@@ -165,6 +165,7 @@
         return min(int(self.reservations.due_count * self.kept_share + 0.5), servable, ceil(self.node_slots))
 
     def reservations_per_slot(self, now: int) -> list[int]:
+        """The number of reservations in each slot from the next one to the last one that can be advised now."""
         self._advance(now)
         assert self.reservations.next_slot is not None
         return [
--- a/slatehub/decisions/drain.py
+++ b/slatehub/decisions/drain.py
@@ -2,7 +2,7 @@
 decides whether answers close their connection, and from when on idle connections are closed. Pure; used by the front.
 Only the operator or process that started a drain may end it.
 
-The platform (the operators' page): it goes on sending new connections for 0.3 s and callers reuse open connections. 4 s
+The platform (the operators' page): it keeps sending new connections for 0.3 s and callers reuse open connections. 4 s
 after the call no connection may be idle here, and none may carry a request that came in the last 2 s of these 4 s. A
 process whose listener has been taken over lives for 3.7 s more, and requests that come in that time have less time than
 their callers would wait."""
--- a/slatehub/decisions/fleet/load.py
+++ b/slatehub/decisions/fleet/load.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
+# In wire order: rates per second, except used, slots and waiting, which are numbers of calls.
 TOTAL_NAMES = (
     "arrivals",
     "sends",
@@ -16,7 +17,7 @@
     "slots",
     "waiting",
     "served",
-)  # in wire order: rates per second, except used, slots and waiting, which are numbers of calls
+)
 MAX_PER_PROXY = {  # upper bounds for the report of one proxy, above what a proxy can handle
     "arrivals": 20_000, "sends": 40_000, "further": 20_000, "refused": 20_000, "used": 50_000, "slots": 10_000,
     "waiting": 50_000, "served": 20_000,
--- a/slatehub/decisions/fleet/policy.py
+++ b/slatehub/decisions/fleet/policy.py
@@ -22,22 +22,18 @@
 MAX_SUM_AGE_US = 3_000_000  # older sums are ignored
 MIN_COVERAGE = 2 / 3  # part of the living members that the sums must include
 MAX_SHARE_FACTOR, MIN_SHARE_FACTOR = 32.0, 0.5  # bounds of a share, as multiples of an even one
-MIN_ARRIVALS_PER_S = 2.0  # mean per proxy; with fewer arrivals the differences in demand mean nothing
-EVEN_FACTOR = (
-    2.0  # demand within this factor of the mean is averaged over SLOW_SPAN_US: short counts scatter as much
-)
+MIN_ARRIVALS_PER_S = 2.0  # mean per proxy; with fewer arrivals the differences in demand are not significant
+# Demand within this factor of the mean is averaged over SLOW_SPAN_US: counts over a short time vary as much by chance.
+EVEN_FACTOR = 2.0
 MAX_CORRECTION = 4.0  # the correction multiplies or divides a share by this at most
-CORRECTION_GAIN = (
-    2.0  # its growth per second for each unit by which the refused part here exceeds that of the fleet
-)
-CORRECTION_DECAY_US = 5_000_000  # time over which it returns to 1 once nothing is refused
+# Growth of the correction per second for each unit by which the refused part here exceeds that of the fleet.
+CORRECTION_GAIN = 2.0
+CORRECTION_DECAY_US = 5_000_000  # time over which the correction returns to 1 once nothing is refused
 MAX_STEP_US = 1_000_000  # longest time since the last evaluation that one step of the correction counts
-SLOW_SPAN_US = 20_000_000
+SLOW_SPAN_US = 20_000_000  # time over which small differences in demand are averaged
 PRIOR_ARRIVALS = 50.0  # arrivals at the mean rate that are added to each proxy's own count
-SHORTAGE_START, SHORTAGE_END = (
-    0.85,
-    0.7,
-)  # slots in use of all: a shortage starts above the one, ends below the other
+# Fraction of all slots that is in use: a shortage starts above the first value and ends below the second.
+SHORTAGE_START, SHORTAGE_END = 0.85, 0.7
 MAX_RETRY_RATIO = 0.1  # retries for each first attempt, over the fleet
 RESUME_RETRY_RATIO = 0.08  # retries are allowed again below this
 MIN_FAILED_CALLS = 3.0  # recent failed calls, over the fleet, before only some proxies probe a node
@@ -45,9 +41,8 @@
 MAX_AVOIDED_US = 3_000_000  # without a further failure for so long, all proxies try the node again
 BEST_RATE_MEMORY_US = 60_000_000  # time over which the highest rate that nodes served is forgotten
 NODE_COUNT_MEMORY_US = 5_000_000  # the same for removed nodes, as they served part of the recent calls, too
-MAX_WORK_REDUCTION = (
-    3.0  # the reported work of a call is at most so many times below this proxy's own estimate
-)
+# The reported work of a call is at most this many times below this proxy's own estimate.
+MAX_WORK_REDUCTION = 3.0
 PROXIES_PER_PROBER = 16  # one of so many proxies probes a node, as not every proxy sends to every node
 
 
@@ -81,10 +76,8 @@
         self.smoothing_since = self.smoothed_at = 0
         # Arrivals per second, of this proxy and the mean of all, over SLOW_SPAN_US.
         self.own_arrivals, self.mean_arrivals = 0.0, 0.0
-        self.best_rate, self.best_rate_at = (
-            0.0,
-            0,
-        )  # most calls per second that a node served, averaged over the nodes
+        # Most calls per second that a node served, averaged over the nodes.
+        self.best_rate, self.best_rate_at = 0.0, 0
         self.serving_nodes = 0.0  # nodes that served recently
         self.share_correction, self.corrected_at = 1.0, 0
         self.shortage = False  # of the slots of the whole fleet
--- a/slatehub/decisions/maintenance.py
+++ b/slatehub/decisions/maintenance.py
@@ -10,9 +10,8 @@
 
 from paddlestep.interface import Entry, State
 
-MAX_NODES_OUT = (
-    4096  # node ids out at once: only known nodes can be taken out, but those that left the list stay out
-)
+# Node ids in maintenance. Only known nodes can be taken out, but those that left the list stay out.
+MAX_NODES_OUT = 4096
 MAX_ENDED_REMEMBERED = 1024  # a node is warm again long before so many others have come back
 MAX_NODE_ID_LENGTH = 256
 
--- a/slatehub/decisions/maintenance_registers.py
+++ b/slatehub/decisions/maintenance_registers.py
@@ -10,10 +10,9 @@
 import msgspec
 
 REGISTER_COUNT = 16  # a value is short and holds only some ids, so the ids are spread over several registers
-MAX_VALUE_BYTES = 700
-ENDED_MEMORY_MS = (
-    600_000  # how long the end of a maintenance is kept: a node that came back is cold for a while
-)
+MAX_VALUE_BYTES = 700  # of an encoded value; below the limit of a register (`copies.messages`)
+# How long the end of a maintenance is kept: a node that came back is cold for a while.
+ENDED_MEMORY_MS = 600_000
 FORMAT = 1
 
 
--- a/slatehub/decisions/pacing.py
+++ b/slatehub/decisions/pacing.py
@@ -9,12 +9,10 @@
 from random import Random
 
 SECOND = 1_000_000
-TOKEN = (
-    SECOND  # one token in millionths: a rate per second is then an integer per microsecond, without rounding
-)
-MAX_TRACKED_NODES = (
-    512  # about 300 KB; with more nodes the least recently used one is forgotten and starts afresh
-)
+# One token in millionths: a rate per second is then an integer per microsecond, without rounding.
+TOKEN = SECOND
+# About 300 KB. With more nodes the least recently used one is forgotten and starts afresh.
+MAX_TRACKED_NODES = 512
 MIN_RETRY_US = 1_000  # shortest wait before asking again while a node's window is full
 
 
@@ -23,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptLimiterConfig:
-    """ValueError if a value is out of range.
+    """Raises ValueError if a value is out of range.
 
     per_s       connections accepted per second, 1 to 1,000,000; half of that while more than `busy` jobs are
                 in hand. Accepting one takes about 45 us and may bring a job, which costs far more
@@ -76,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectLimiterConfig:
-    """ValueError if a value is out of range.
+    """Raises ValueError if a value is out of range.
 
     first      concurrent handshakes with a node seen for the first time, 1 to most
     again      concurrent handshakes with a node that has come back, 1 to first
@@ -115,7 +113,7 @@
         self.successes = 0  # since the size last changed
         self.in_flight: list[int] = []  # start time of each handshake in progress, at most `most` of them
         self.not_before = 0  # no handshake starts before this time
-        self.returned_at = -1  # handshakes started up to then say nothing about the node as it is now
+        self.returned_at = -1  # handshakes started up to then are no evidence of its present state
         self.just_returned = False  # the node has come back and no handshake has started since
         self.handshake_us = 0  # moving average of the duration of a handshake
 
@@ -188,7 +186,7 @@
         return window
 
     def _expire_lost(self, now: int, window: _NodeWindow) -> None:
-        # Handshakes whose end is never reported would otherwise fill the window for good.
+        # Handshakes whose end is never reported would otherwise fill the window permanently.
         while window.in_flight and window.in_flight[0] + self.config.lost_us <= now:
             self._shrink(window, window.in_flight.pop(0))
 
--- a/slatehub/decisions/shutdown.py
+++ b/slatehub/decisions/shutdown.py
@@ -1,6 +1,6 @@
-"""The schedule of a planned shutdown during which the proxy goes on serving: until when callers are accepted, kept and
-answered, and when refused callers are told to come back. Pure; used by the front and the dispatcher. No answer is
-planned for a time when the process may have been killed.
+"""The schedule of a planned shutdown during which the proxy continues to serve: until when callers are accepted, kept
+and answered, and when refused callers are advised to come back. Pure; used by the front and the dispatcher. No answer
+is planned for a time when the process may have been killed.
 
 The platform (PROTOCOL, planned restarts): SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most,
 plus 0.7 s at the earliest, and the next start comes a second or more after that. New connections keep coming for 0.2 to
@@ -15,7 +15,8 @@
 MAX_DEADLINE_US = 3_000_000  # a longer deadline counts as this long
 KILL_DELAY_US = 700_000  # from the longest deadline until SIGKILL
 KILL_MARGIN_US = 150_000  # before SIGKILL, for the last answers and the end of the process
-MAX_DISCONNECT_LEAD_US = 800_000  # before the last answer, callers are let go to siblings: some service times
+# Callers are sent to siblings at most this long before the last answer: some service times.
+MAX_DISCONNECT_LEAD_US = 800_000
 RESTART_DELAY_US = 1_000_000  # from SIGKILL until the next start, if nothing else is known
 
 
--- a/slatehub/decisions/storm.py
+++ b/slatehub/decisions/storm.py
@@ -47,7 +47,7 @@
 MAX_NODES = 256  # reports kept
 NODE_REPORT_STALE_US = 5_000_000  # how long a report counts: nodes report with each answer
 # Relative pace at which the usual figures adapt outside CALM: an outage is not usual, but the figures must
-# not be stuck for good.
+# not be stuck permanently.
 LEARNING_PACE_OUTSIDE_CALM = 0.25
 # Indices of the counts; the counts of each tenant follow from FIRST_TENANT on.
 FRESH, REPEATS, SERVED, REFUSED, CONNECTS, COMMON_FRESH, FIRST_TENANT = range(7)
@@ -56,6 +56,8 @@
 
 
 class Phase(Enum):
+    """The phases of a retry storm."""
+
     CALM = "calm"
     RISING = "rising"  # signs, held for a while
     STORM = "storm"
@@ -110,6 +112,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseChange:
+    """A change of phase, with the metrics that caused it."""
+
     phase: Phase
     previous: Phase
     metrics: StormMetrics
@@ -295,6 +299,7 @@
             self._key_table.add_refusals(now, key & ((1 << 64) - 1), 1)
 
     def connection_opened(self, now: int) -> None:
+        """A caller has opened a new connection."""
         self._note_event(now)
         self._pending_counts[CONNECTS] += 1
 
@@ -333,6 +338,7 @@
         return None if phase is self.phase else self._enter_phase(now, phase)
 
     def metrics(self) -> StormMetrics:
+        """The metrics of the last evaluation."""
         return self._metrics
 
     def _update_counts(self, now: int, elapsed_us: int) -> None:
--- a/slatehub/discovery/node_list.py
+++ b/slatehub/discovery/node_list.py
@@ -1,6 +1,6 @@
 """The node list: fetches the nodes of this proxy's tier from discovery and watches for changes. It holds the only
 connection to discovery, the revision of the list and the number of each node id. It does not drop a node because
-discovery does not respond, and does not start a watch before the balancer wants one."""
+discovery does not respond, and does not start a watch before the balancer requests one."""
 
 from __future__ import annotations
 
@@ -33,7 +33,9 @@
 
 
 class NodeAddresses(Protocol):
-    """Holds the addresses of the nodes, by their endpoint numbers."""
+    """Holds the addresses of the nodes, by their endpoint numbers. `set_node` sets the address of a node and its last
+    start; `close_node` ends its use but keeps its address, as attempts on it may still be under way; `forget_node`
+    removes it."""
 
     def set_node(self, endpoint: int, address: Address, since: int) -> None: ...
 
@@ -83,10 +85,10 @@
             raise ConfigError(f"EDGE_CONFIG: known: cannot be read: {text}") from None
 
     def apply_settings(self, config: ProxyConfig) -> None:
-        """Applies new settings. If discovery has moved, the old one is left at once, without waiting for a call under
-        way, and the new one is asked for its whole list, as it may count revisions differently. The numbers of the
-        nodes stay. One watch from revision 0 fetches the list: a list call and a watch from every proxy at once would
-        be more calls than discovery can take."""
+        """Applies new settings. If discovery has moved, the old one is abandoned immediately, without waiting for a
+        call under way, and the new one is asked for its whole list, as it may count revisions differently. The numbers
+        of the nodes stay. One watch from revision 0 fetches the list: a list call and a watch from every proxy at the
+        same time would be more calls than discovery can take."""
         old, self.config = self.config, config
         if (old.discovery, old.kinds, old.zones) == (config.discovery, config.kinds, config.zones):
             return
--- a/slatehub/drivers/upstream.py
+++ b/slatehub/drivers/upstream.py
@@ -21,7 +21,7 @@
 
 RESPONSE_BODY_TIMEOUT_US = 1_500_000  # for the rest of a response once it has begun
 WRITE_SLICE_BYTES = 256 * 1024  # of a request, passed to the socket in one call
-MAX_SINGLE_WRITE_BYTES = 16 * 1024  # a request up to this size is written at once on a new connection
+MAX_SINGLE_WRITE_BYTES = 16 * 1024  # on a new connection, a request up to this size is written in one step
 LAST_BYTE_DELAY_S = 0.002  # before the last byte of a request on a reused connection
 
 
--- a/slatehub/fleet/datagrams.py
+++ b/slatehub/fleet/datagrams.py
@@ -5,7 +5,7 @@
 yet), sequence (8), body, tag (16, keyed BLAKE2b of all before it). The key is derived from the file's key, the fleet's
 name and the tier, so that a datagram of another fleet or tier is rejected as forged. Each process draws a new random
 session when it starts. A datagram that does not name the receiver's session may be a replay from the time of an earlier
-process: it proves only that a holder of the key once wrote it, and its content is not believed."""
+process: it proves only that a holder of the key once wrote it, and its content is not trusted."""
 
 from __future__ import annotations
 
--- a/slatehub/fleet/membership.py
+++ b/slatehub/fleet/membership.py
@@ -61,9 +61,8 @@
     probe_interval_us: int = 500 * MS  # between two probes
     probe_timeout_us: int = 150 * MS  # for a direct Ack
     suspicion_factor: float = 4.0  # shortest suspicion: this many probe intervals, times log10 of the members
-    max_suspicion_factor: float = (
-        6.0  # longest suspicion, in shortest ones, while no other member confirms it
-    )
+    # Longest suspicion, in shortest ones, while no other member confirms it.
+    max_suspicion_factor: float = 6.0
     gossip_interval_us: int = 100 * MS
     rejoin_interval_us: int = 2 * SECOND  # between two attempts to reach a lost member or a seed
     lost_retention_us: int = 3600 * SECOND  # a lost member counts as possibly present for this long
@@ -100,10 +99,12 @@
 
     @property
     def present(self) -> int:
+        """Members that are alive or suspected."""
         return self.alive + self.suspect
 
     @property
     def possibly_present(self) -> int:
+        """Members that are alive, suspected or lost."""
         return self.present + self.lost
 
 
@@ -155,7 +156,7 @@
         self.member_table = MemberTable(me)
         self.seeds = tuple(seed for seed in seeds if seed != (me.host, me.port))
         self.config, self.rng = config, rng
-        self.health = 0  # 0: healthy; MAX_HEALTH_SCORE: own failed probes say little
+        self.health = 0  # 0: healthy; MAX_HEALTH_SCORE: own failed probes are weak evidence
         self.outbox: list[OutgoingMessage] = []
         self.changes: list[MemberChange] = []
         self.rumours: dict[str, int] = {}  # name -> times sent
@@ -476,7 +477,7 @@
     # ------------------------------------------------------------ incoming messages
 
     def handle_stale_session(self, now: int, envelope: Envelope, session: int) -> None:
-        """Handles a message that does not name this process's session. Its content is not believed: the claimed sender
+        """Handles a message that does not name this process's session. Its content is not trusted: the claimed sender
         is only sent a Join, and the record of another process of its name if there is one."""
         message = envelope.message
         known = self.member_table.members.get(envelope.sender)
@@ -539,7 +540,7 @@
             gone or (known.record.session != session and not self.member_table.supersedes(record, now))
         ):
             # The sender has to refute the record held here, and may itself hold a record of another process under this
-            # name. Rate-limited, as both sides may go on answering each other.
+            # name. Rate-limited, as both sides may keep answering each other.
             if not self.join_limiter.take(now):
                 return
             self._emit(record.host, record.port, session, Gossip([known.record]))
--- a/slatehub/fronts/http1/server.py
+++ b/slatehub/fronts/http1/server.py
@@ -295,7 +295,8 @@
         self._set_timeout()  # the delay is on this side
         self.http_server.memory_waiters.append(self)
         try:
-            with self._reader_paused(), gevent.Timeout(MEMORY_WAIT_TIMEOUT_US / 1e6, False):  # type: ignore[arg-type]  # False: raises nothing
+            # False: the timeout ends the block without an exception.
+            with self._reader_paused(), gevent.Timeout(MEMORY_WAIT_TIMEOUT_US / 1e6, False):  # type: ignore[arg-type]
                 while (
                     self.http_server.memory_waiters[0] is not self
                     or self.http_server.bytes_held - self.buffered_bytes + required_bytes > limit
@@ -429,8 +430,8 @@
         return not closes_connection
 
     def _stream_response(self, head: bytes, node_response: NodeResponse, chunked: bool) -> None:
-        """Forwards a large response as it is received. If it is cut short, closes the connection at once, because the
-        caller must be able to detect this and must never get a second response."""
+        """Forwards a large response as it is received. If it is cut short, closes the connection immediately, because
+        the caller must be able to detect this and must never get a second response."""
         body_stream, chunk = node_response.body_stream, node_response.body
         assert body_stream is not None
         self.response_stream = body_stream
@@ -502,7 +503,7 @@
             fingerprint,
         )
         job.intent_register = register_key
-        self.job = job  # before submit(), which may answer it at once
+        self.job = job  # before submit(), which may answer it immediately
         if not self.http_server.dispatcher.submit(job):
             self.job = None
             return LocalResponse(409, "this X-Request-ID is still in hand", closes_connection=False)
--- a/slatehub/handover/messages.py
+++ b/slatehub/handover/messages.py
@@ -1,5 +1,5 @@
-"""The messages between two processes of one proxy: JSON objects, one a line. Does no I/O. The decoder buffers a bounded
-number of bytes and accepts nothing but objects."""
+"""The messages between two processes of one proxy: JSON objects, one per line. Does no I/O. The decoder buffers a
+bounded number of bytes and accepts nothing but objects."""
 
 from __future__ import annotations
 
--- a/slatehub/observe/log.py
+++ b/slatehub/observe/log.py
@@ -1,4 +1,4 @@
-"""The structured log: one event a line, as logfmt or JSON, with time, level, topic, msg and named fields. Defines the
+"""The structured log: one event per line, as logfmt or JSON, with time, level, topic, msg and named fields. Defines the
 format of a line, the rate limit of each topic and the length limits. Logging never blocks and never raises. It must be
 called from the hub's thread only."""
 
--- a/slatehub/settings/key_file.py
+++ b/slatehub/settings/key_file.py
@@ -19,6 +19,8 @@
 
 
 class Key(NamedTuple):
+    """One key of a fleet."""
+
     key_id: bytes  # 4 bytes, sent in clear text with each datagram
     secret: bytes  # 32 bytes
 
--- a/slatehub/settings/operator.py
+++ b/slatehub/settings/operator.py
@@ -27,6 +27,7 @@
 
 
 def one_of(usual: str, *others: str) -> Any:
+    """A setting that is one of these words; `usual` is the default."""
     words = (usual, *others)
 
     def rule(value: Any) -> str:
@@ -38,6 +39,7 @@
 
 
 def number(usual: float, least: float, most: float, whole: bool = False) -> Any:
+    """A number from `least` to `most`, a whole one if `whole`; `usual` is the default."""
     kind = "whole number" if whole else "number"
 
     def rule(value: Any) -> float:
@@ -50,6 +52,8 @@
 
 
 def text(usual: str, longest: int) -> Any:
+    """A printable text of at most `longest` characters; `usual` is the default."""
+
     def rule(value: Any) -> str:
         if not isinstance(value, str) or len(value) > longest or not value.isprintable():
             raise ValueError(f"must be a text of at most {longest} characters")
@@ -82,6 +86,8 @@
 
 
 def address_list(most: int) -> Any:
+    """A list of at most `most` addresses (ADDRESS:PORT), empty by default."""
+
     def rule(value: Any) -> tuple[tuple[str, int], ...]:
         if not isinstance(value, list) or len(value) > most:
             raise ValueError(f"must be a list of at most {most} addresses")
@@ -91,6 +97,8 @@
 
 
 def name_list(most: int, longest: int) -> Any:
+    """A list of at most `most` different names of 1 to `longest` characters, empty by default."""
+
     def rule(value: Any) -> tuple[str, ...]:
         good = isinstance(value, list) and len(value) <= most and len({*map(str, value)}) == len(value)
         if not good or not all(
@@ -114,6 +122,8 @@
 
 
 def flag(usual: bool) -> Any:
+    """true or false; `usual` is the default."""
+
     def rule(value: Any) -> bool:
         if not isinstance(value, bool):
             raise ValueError("must be true or false")
--- a/slatehub/store/write_ahead_log.py
+++ b/slatehub/store/write_ahead_log.py
@@ -60,6 +60,7 @@
 
 
 def segment_name(number: int) -> str:
+    """The file name of a segment."""
     return f"log-{number:010d}"
 
 
@@ -82,6 +83,7 @@
 
     @property
     def store_id(self) -> int:
+        """The id of this store."""
         return self.manifest.store
 
     # ------------------------------------------------------------ open
