--- a/slatehub/cli/promises.py
+++ b/slatehub/cli/promises.py
@@ -129,8 +129,8 @@
         return self.driver.change_voters(kind, name, new) if self.driver else None
 
     def set_node_out(self, ident: str, out: bool) -> str | None:
-        """Takes a node out, or back in, at all proxies. Returns "" where this was done, else the reason;
-        None where each proxy keeps its own list."""
+        """Starts the maintenance of a node at all proxies (`out`), or ends it. Returns "" where this was done, else the
+        reason; None where each proxy keeps its own list."""
         return self.fleet_maintenance.set_for_fleet(ident, out) if self.fleet_maintenance else None
 
     def status(self) -> dict[str, Any] | None:
--- a/slatehub/decisions/maintenance.py
+++ b/slatehub/decisions/maintenance.py
@@ -1,6 +1,6 @@
-"""Nodes in maintenance: a set laid over discovery's list before the dispatcher gets it. Pure; used by the node list. A
-node that an operator took out stays out whatever discovery reports, and no node is out unless an operator took it
-out. Times are microseconds of the clock that discovery's start times use."""
+"""Nodes in maintenance: a set that is applied to discovery's list before the dispatcher gets it. Pure; used by the node
+list. A node that an operator put into maintenance stays in it whatever discovery reports, and no other node is in
+maintenance. Times are microseconds of the clock that discovery's start times use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from paddlestep.interface import Entry, State
 
-# Node ids in maintenance. Only known nodes can be taken out, but those that left the list stay out.
+# Node ids in maintenance. Maintenance can start for known nodes only, but nodes that left the list stay in it.
 MAX_NODES_OUT = 4096
 MAX_ENDED_REMEMBERED = 1024  # a node is warm again long before so many others have come back
 MAX_NODE_ID_LENGTH = 256
@@ -21,9 +21,9 @@
 
 
 class Maintenance:
-    """`started_at`: ids of the nodes in maintenance, each with when it was taken out. `ended_at`: when a node was put
-    back. Operators restart a node while it is out. A start time that discovery reports from after it was taken out is
-    used; if there is none, the node counts as started, and so as cold, when it was put back."""
+    """`started_at`: ids of the nodes in maintenance, each with the time at which it began. `ended_at`: when the
+    maintenance of a node ended. Operators restart a node during its maintenance. A start time that discovery reports
+    from that time is used; if there is none, the node counts as started, and so as cold, when its maintenance ended."""
 
     def __init__(self) -> None:
         self.started_at: dict[str, int] = {}
@@ -53,7 +53,7 @@
 
     def apply_to(self, ident: str, entry: Entry) -> Entry:
         """The entry that the dispatcher gets for discovery's entry: DRAINING instead of READY in maintenance, and not
-        started before it was put back."""
+        started before its maintenance ended."""
         since = max(entry.since_us, self.ended_at.get(ident, 0))
         state = State.DRAINING if ident in self.started_at and entry.state is State.READY else entry.state
         if state is entry.state and since == entry.since_us:
--- a/slatehub/decisions/maintenance_registers.py
+++ b/slatehub/decisions/maintenance_registers.py
@@ -53,8 +53,8 @@
 
 @dataclass(slots=True)
 class SetNodeMaintenance:
-    """Register change for an operator's call: takes the node out, or puts it back. `error`: why it cannot be done, else
-    empty."""
+    """Register change for an operator's call: starts the maintenance of the node (`out`), or ends it.
+    `error`: why it cannot be done, else empty."""
 
     ident: str
     out: bool
--- a/slatehub/decisions/pacing.py
+++ b/slatehub/decisions/pacing.py
@@ -24,9 +24,9 @@
     """Raises ValueError if a value is out of range.
 
     per_s       connections accepted per second, 1 to 1,000,000; half of that while more than `busy` jobs are
-                in hand. Accepting one takes about 45 us and may bring a job, which costs far more
+                open. Accepting one takes about 45 us and may bring a job, which costs far more
     burst       connections accepted at once after an idle period, 1 to 1,000,000
-    busy        number of jobs in hand, 0 or more
+    busy        number of open jobs, 0 or more
     slowest_us  at least one connection is accepted per this time, whatever the rate, 1 or more"""
 
     per_s: int = 2_000
--- a/slatehub/decisions/storm.py
+++ b/slatehub/decisions/storm.py
@@ -241,9 +241,9 @@
         self._util: float | None = None
         self._first_arrival = self._last_arrival = -1
         self._last_evaluation = self._phase_since = -1
-        # Rate of common keys while answers were of use: at the last but one such evaluation, and at the last.
+        # Rate of common keys while few answers failed: at the last but one such evaluation, and at the last.
         self._common_rate_before = self._common_rate = 0.0
-        # Time in which answers were of use; without enough of it the rate of common keys is unknown.
+        # Time in which few answers failed; without enough of it the rate of common keys is unknown.
         self._healthy_us = 0
         self._common_allowance = 0.0  # how many arrivals of common keys may still count as new requests
         self._flooding_tenant = self._suspected_tenant = -1
--- a/slatehub/drivers/dispatcher.py
+++ b/slatehub/drivers/dispatcher.py
@@ -78,7 +78,7 @@
         self.greenlet = gevent.spawn(self._run_batches)
 
     def submit(self, job: Job) -> bool:
-        """Accepts a job whose request is complete. Returns False if a job with the same request id is still in hand."""
+        """Accepts a job whose request is complete. Returns False if a job with the same request id is still open."""
         known = self.intent_store.recorded_answer(job) if job.intent_register and self.intent_store else None
         accepted = self.dispatcher.submit(clock(), job, known)
         self._execute_commands()
--- a/slatehub/fronts/http1/request_parser.py
+++ b/slatehub/fronts/http1/request_parser.py
@@ -47,8 +47,8 @@
         self.declared_length = 0  # Content-Length of a body over MAX_BUFFERED_BODY_BYTES, else 0
 
     def close(self) -> None:
-        """Drops the parser, which refers to this object. Without this reference cycle both are freed at once, without
-        the garbage collector."""
+        """Drops the parser, which refers to this object. Without this reference cycle both are freed
+        immediately, without the garbage collector."""
         self.parser = None
         self._clear()
 
--- a/slatehub/settings/operator.py
+++ b/slatehub/settings/operator.py
@@ -198,7 +198,7 @@
     seeds: tuple[tuple[str, int], ...] = address_list(16)
     name: str = text("", 64)  # of the fleet, the same at all its proxies
     key_file: str = text("", 1000)
-    maintenance: str = one_of("own", "fleet")  # nodes taken out by operators: at each proxy alone, or at all
+    maintenance: str = one_of("own", "fleet")  # maintenance of nodes: at each proxy alone, or at all
     share: bool = flag(True)  # proxies exchange their loads and handle overload together
 
     @property
