--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -44,7 +44,8 @@
 
 def pair(**other: object) -> tuple[DatagramSealer, DatagramSealer]:
     terms = {"keys": (KEY,), "fleet": "f", "tier": 0, **other}
-    return DatagramSealer((KEY,), "f", 0, 1), DatagramSealer(terms["keys"], terms["fleet"], terms["tier"], 2)  # type: ignore[arg-type]
+    receiver = DatagramSealer(terms["keys"], terms["fleet"], terms["tier"], 2)  # type: ignore[arg-type]
+    return DatagramSealer((KEY,), "f", 0, 1), receiver
 
 
 def test_sealed_datagram_opens_once_and_only_at_its_receiver() -> None:
@@ -392,7 +393,9 @@
         load_sharing = peer.start_load_sharing(
             now, lambda: module, lambda _now, event, _until: events.update({place.name: event})
         )
-        load_sharing.meter.read = lambda _now, _module: load(rates.get(place.name, 10.0), used=1.0, slots=2.0)  # type: ignore
+        load_sharing.meter.read = lambda _now, _module: load(  # type: ignore
+            rates.get(place.name, 10.0), used=1.0, slots=2.0
+        )
         return peer
 
     simulation = MembershipSimulation(seed, make_peer=make)
