--- a/slatelab/model/simulated_node.py
+++ b/slatelab/model/simulated_node.py
@@ -242,10 +242,12 @@
         line.key = 0
         if self.cut:
             return  # written to nobody; the connection is reset once the machine is back
-        line.back.send(line.answered, act.status, act.turned, act.token, self.report())
+        line.back.send(line.answered, act.status, act.not_processed, act.token, self.report())
         request = task.ask.request
         self.context.say(
-            Replied(now, self.spec.id, self.life, request, task.proxy, act.status, act.turned, act.token)
+            Replied(
+                now, self.spec.id, self.life, request, task.proxy, act.status, act.not_processed, act.token
+            )
         )
 
     def report(self) -> tuple[float, ...]:
